--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -211,7 +211,6 @@
 	Wasted   float64       `json:"wasted"`              // share of back end work
 	Retries  float64       `json:"retries"`             // for each user request
 	Before   float64       `json:"success_before"`      // share of requests
-	Series   []float64     `json:"series,omitempty"`    // completed a second, for plots
 	Capacity float64       `json:"capacity_s"`          // user requests a second
 	Limit    int           `json:"final_limit_deepest"` // of one back end
 }
@@ -229,7 +228,6 @@
 	}
 	result.Retries = float64(w.retries) / float64(max(len(w.outcomes), 1))
 	result.Before = w.success(2*time.Second, s.begin)
-	result.Series = w.series(s.finish)
 	last := w.mesh.Services[len(w.mesh.Services)-1].Name
 	if controller := w.backends[last][0].controller; controller != nil {
 		result.Limit = controller.State(w.Now()).Limit
@@ -352,14 +350,3 @@
 	}
 	return ""
 }
-
-// series is the completed requests of each second.
-func (w *world) series(finish time.Duration) []float64 {
-	counts := make([]float64, int(finish.Seconds()))
-	for _, o := range w.outcomes {
-		if second := int(o.ended.Seconds()); o.completed && second < len(counts) {
-			counts[second]++
-		}
-	}
-	return counts
-}
--- a/internal/labcli/experiment.go
+++ b/internal/labcli/experiment.go
@@ -17,7 +17,6 @@
 	Seed uint64   `help:"Seed; the same seed gives the same result." default:"1"`
 	Runs int      `help:"Seeds to play, beginning with --seed; the table shows each." default:"1"`
 	JSON bool     `help:"One JSON object for each arm."`
-	Plot string   `help:"Write a plot of completed requests a second to this SVG file (one scenario)." type:"path"`
 }
 
 // Run plays scenarios in virtual time.
@@ -46,11 +45,6 @@
 			}
 		}
 	}
-	if c.Plot != "" {
-		if err := plotSeries(c.Plot, results); err != nil {
-			return err
-		}
-	}
 	return c.print(results)
 }
 
@@ -84,7 +78,6 @@
 	if c.JSON {
 		encoder := json.NewEncoder(os.Stdout)
 		for _, result := range results {
-			result.Series = nil
 			if err := encoder.Encode(result); err != nil {
 				return err
 			}
