--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -7,65 +7,37 @@
 	"github.com/matryer/is"
 )
 
-// short returns a scenario that is played for a shorter time.
-func short(t *testing.T, name string) Scenario {
-	t.Helper()
-	scenario, exists := FindScenario(name)
-	if !exists {
-		t.Fatalf("there is no scenario %q", name)
-	}
-	scenario.begin, scenario.end, scenario.finish = faultBegin/2, faultEnd/4+faultBegin/2, faultEnd/2
-	return scenario
-}
-
-func arm(t *testing.T, name string) Arm {
-	t.Helper()
-	found, exists := FindArm(name)
-	if !exists {
-		t.Fatalf("there is no arm %q", name)
-	}
-	return found
-}
+const load = 0.7 // of capacity, before and after the fault
 
 func TestTheSameSeedGivesTheSameResult(t *testing.T) {
 	is := is.New(t)
-	first := Play(short(t, "demand-3"), arm(t, "loomcleat"), 5)
-	second := Play(short(t, "demand-3"), arm(t, "loomcleat"), 5)
-	is.True(reflect.DeepEqual(first, second))
+	s := scenario{load: load, surge: 3, slow: 1}
+	is.True(reflect.DeepEqual(play(s, 5), play(s, 5)))
 }
 
 // TestOverload states what the decision code must reach in virtual time. The
 // seeds are fixed, so that the verdict is the same in each run.
 func TestOverload(t *testing.T) {
 	cases := []struct {
-		scenario string
-		goodput  float64 // at least, of the perfect shedder
+		scenario
+		goodput  float64 // at least
 		critical float64 // at least, success of critical requests
 		wasted   float64 // at most
 	}{
-		{"normal", 0.98, 0.99, 0.01},
-		{"demand-1.5", 0.93, 0.99, 0.10},
-		{"demand-3", 0.93, 0.98, 0.15},
-		{"trigger", 0.80, 0.75, 0.20},
+		{scenario{name: "normal", load: load, surge: load, slow: 1}, 0.98, 0.99, 0.01},
+		{scenario{name: "demand-1.5", load: load, surge: 1.5, slow: 1}, 0.93, 0.99, 0.10},
+		{scenario{name: "demand-3", load: load, surge: 3, slow: 1}, 0.93, 0.98, 0.15},
+		{scenario{name: "trigger", load: load, surge: 1.4, slow: 5, retry: true}, 0.80, 0.75, 0.20},
 	}
 	for _, c := range cases {
-		t.Run(c.scenario, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			result := Play(short(t, c.scenario), arm(t, "loomcleat"), 1)
+			result := play(c.scenario, 1)
 			t.Logf("%+v", result)
-			is.True(result.Goodput >= c.goodput)
-			is.True(result.Classes[0].Success >= c.critical)
-			is.True(result.Wasted <= c.wasted)
-			is.True(result.Recovery >= 0 && result.Recovery <= 3)
+			is.True(result.goodput >= c.goodput)
+			is.True(result.classes[0].success >= c.critical)
+			is.True(result.wasted <= c.wasted)
+			is.True(result.recovery >= 0 && result.recovery <= 3)
 		})
 	}
 }
-
-// TestTheTriggerBringsDownWhatHasNoControl shows the fault first.
-func TestTheTriggerBringsDownWhatHasNoControl(t *testing.T) {
-	is := is.New(t)
-	for _, name := range []string{"none", "naive"} {
-		result := Play(short(t, "trigger"), arm(t, name), 1)
-		is.True(result.Goodput < 0.3)
-	}
-}
--- a/internal/labcli/labcli.go
+++ b/internal/labcli/labcli.go
@@ -32,8 +32,6 @@
 
 	Replay replayCommand `cmd:"" help:"Play recorded traces through the decision code."`
 
-	Experiment experimentCommand `cmd:"" help:"Play overload scenarios in virtual time and compare ways of control."`
-
 	Gossip gossipCommand `cmd:"" help:"Measure failure detection in virtual time."`
 
 	Soak soakCommand `cmd:"" help:"Run real processes under faults and check the promises."`
