--- a/internal/labcli/labcli.go
+++ b/internal/labcli/labcli.go
@@ -32,8 +32,6 @@
 
 	Replay replayCommand `cmd:"" help:"Play recorded traces through the decision code."`
 
-	Gossip gossipCommand `cmd:"" help:"Measure failure detection in virtual time."`
-
 	Soak soakCommand `cmd:"" help:"Run real processes under faults and check the promises."`
 }
 
--- a/internal/replay/players.go
+++ b/internal/replay/players.go
@@ -7,7 +7,7 @@
 
 	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/claims"
-	"github.com/loomcleat/loomcleat/internal/lab"
+	"github.com/loomcleat/loomcleat/internal/simulation"
 	"github.com/loomcleat/loomcleat/retrybudget"
 	"github.com/loomcleat/loomcleat/spread"
 )
@@ -159,38 +159,38 @@
 
 // gossipPlayer plays a mesh in virtual time.
 type gossipPlayer struct {
-	sim     *lab.GossipSim
+	mesh    *simulation.MembershipMesh
 	started time.Duration
 }
 
 func newGossipPlayer(setting Setting) player {
-	return &gossipPlayer{sim: lab.NewGossipSim(lab.GossipConfig{Members: setting.Members, Seed: setting.Seed, Loss: setting.Loss})}
+	return &gossipPlayer{mesh: simulation.NewMembershipMesh(simulation.MembershipConfig{Members: setting.Members, Seed: setting.Seed, Loss: setting.Loss})}
 }
 
 func (p *gossipPlayer) step(step Step) (string, error) {
-	if wait := step.At - p.sim.Elapsed(); wait > 0 {
-		p.sim.Run(wait)
+	if wait := step.At - p.mesh.Elapsed(); wait > 0 {
+		p.mesh.Run(wait)
 	}
 	switch step.Do {
 	case "crash":
-		p.sim.Crash(step.Count)
+		p.mesh.Crash(step.Count)
 	case "freeze":
-		p.sim.Freeze(step.Count)
+		p.mesh.Freeze(step.Count)
 	case "wake":
-		p.sim.Wake(step.Count)
+		p.mesh.Wake(step.Count)
 	case "leave":
-		p.sim.Leave(step.Count)
+		p.mesh.Leave(step.Count)
 	case "cut":
-		p.sim.Cut(step.Count)
+		p.mesh.Cut(step.Count)
 	case "heal":
-		p.sim.Heal()
+		p.mesh.Heal()
 	case "mark":
-		p.started = p.sim.Elapsed()
+		p.started = p.mesh.Elapsed()
 	case "agree": // within the time left
-		_, agreed := p.sim.RunUntil(step.Left, p.sim.Agree)
+		_, agreed := p.mesh.RunUntil(step.Left, p.mesh.Agree)
 		return fmt.Sprintf("agreed %t", agreed), nil
 	case "removals": // of members that run, since the mark
-		return fmt.Sprintf("false removals %d", p.sim.FalseRemovals(p.started)), nil
+		return fmt.Sprintf("false removals %d", p.mesh.FalseRemovals(p.started)), nil
 	default:
 		return "", unknownAction(step)
 	}
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -1,6 +1,3 @@
-// Package simulation is a discrete-event engine: functions run in the order of
-// the virtual time for which they were scheduled, and those of the same time in
-// the order in which they were scheduled. Runs are repeatable.
 package simulation
 
 import (
--- a/membership/protocol.go
+++ b/membership/protocol.go
@@ -193,7 +193,7 @@
 	reply := m.message(message.Kind)
 	// A sender that is suspected or believed dead here is told so, and can
 	// contradict at once.
-	if known, exists := m.members[message.From.ID]; exists && known.Status != Alive && !m.config.NoSuspectNotice {
+	if known, exists := m.members[message.From.ID]; exists && known.Status != Alive {
 		reply.Updates = append(reply.Updates, known.Member)
 	} else if !exists {
 		reply.Updates = append(reply.Updates, m.successors(message.From)...)
--- a/membership/types.go
+++ b/membership/types.go
@@ -132,9 +132,6 @@
 	JoinTime time.Duration
 	// JoinFanout is the number of such addresses that are tried at once. Default 3.
 	JoinFanout int
-	// NoSuspectNotice switches off that a suspected member is told so directly
-	// when it sends a message. It exists to be compared against.
-	NoSuspectNotice bool
 
 	// Random is the source of random choices. Required.
 	Random *rand.Rand
