--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -19,7 +19,6 @@
 	Requests    []LoadRequest // used in turn
 	Concurrency int           // callers at once
 	Duration    time.Duration
-	MaxRequests int // stop after this many, 0: by duration only
 }
 
 // LoadRequest is one kind of request.
@@ -78,9 +77,6 @@
 // call is one caller.
 func (l *loader) call(ctx context.Context, client *http.Client, config LoadConfig, offset int) {
 	for i := offset; ctx.Err() == nil; i++ {
-		if config.MaxRequests > 0 && !l.reserve(config.MaxRequests) {
-			return
-		}
 		wanted := config.Requests[i%len(config.Requests)]
 		started := time.Now()
 		// A request that has been started is not cut off at the end.
@@ -90,22 +86,11 @@
 		}
 		request.Host = wanted.Service
 		response, err := client.Do(request)
-		l.record(response, err, started, config.MaxRequests > 0)
-	}
-}
-
-// reserve counts a request before it is sent and reports whether it may be.
-func (l *loader) reserve(limit int) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.summary.Requests >= limit {
-		return false
+		l.record(response, err, started)
 	}
-	l.summary.Requests++
-	return true
 }
 
-func (l *loader) record(response *http.Response, err error, started time.Time, reserved bool) {
+func (l *loader) record(response *http.Response, err error, started time.Time) {
 	refused := false
 	if err == nil {
 		_, err = io.Copy(io.Discard, response.Body)
@@ -115,9 +100,7 @@
 	taken := time.Since(started)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !reserved {
-		l.summary.Requests++
-	}
+	l.summary.Requests++
 	switch {
 	case refused:
 		l.summary.Refused++
--- a/internal/labcli/labcli.go
+++ b/internal/labcli/labcli.go
@@ -1,10 +1,9 @@
-// Package labcli is the command line of loomcleat-lab: stand-ins, load, replay
-// of traces, experiments and measurements. None of it is needed in production.
+// Package labcli is the command line of loomcleat-lab. None of it is needed in
+// production.
 package labcli
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -13,22 +12,17 @@
 	"os/signal"
 	"runtime/pprof"
 	"syscall"
-	"time"
 
 	"github.com/alecthomas/kong"
 
-	"github.com/loomcleat/loomcleat/internal/lab"
 	"github.com/loomcleat/loomcleat/internal/standin/backend"
-	"github.com/loomcleat/loomcleat/internal/standin/consul"
 )
 
 // commandLine is the grammar of the command line.
 type commandLine struct {
 	Profile string `help:"Write a processor profile to this file." type:"path"`
 
-	Store   storeCommand   `cmd:"" help:"Run the stand-in for the key-value service and the machine list."`
 	Backend backendCommand `cmd:"" help:"Run a stand-in for a back end."`
-	Load    loadCommand    `cmd:"" help:"Send a bounded load to a gateway and print a summary."`
 
 	Replay replayCommand `cmd:"" help:"Play recorded traces through the decision code."`
 
@@ -101,15 +95,6 @@
 	return backend.Serve(ctx, listener, handler)
 }
 
-type storeCommand struct {
-	Listen string `help:"Address, IP:port." default:"127.0.0.1:8500"`
-}
-
-// Run runs the stand-in of the platform.
-func (c *storeCommand) Run() error {
-	return serve(c.Listen, consul.NewServer().Handler())
-}
-
 type backendCommand struct {
 	Listen   string `help:"Address, IP:port." required:""`
 	Service  string `help:"Service in the call graph." required:""`
@@ -134,27 +119,3 @@
 	}
 	return serve(c.Listen, stub)
 }
-
-type loadCommand struct {
-	Target      string        `help:"Base URL of a gateway." required:""`
-	Service     string        `help:"Service to call." required:""`
-	Method      string        `help:"Method." default:"GET"`
-	Path        string        `help:"Path." default:"/"`
-	Concurrency int           `help:"Callers at once." default:"16"`
-	Duration    time.Duration `help:"How long." default:"5s"`
-	Requests    int           `help:"Stop after this many; 0: by duration only." default:"0"`
-}
-
-// Run sends load.
-func (c *loadCommand) Run() error {
-	ctx, cancel := untilStopped()
-	defer cancel()
-	summary := lab.RunLoad(ctx, lab.LoadConfig{
-		Target:      c.Target,
-		Requests:    []lab.LoadRequest{{Service: c.Service, Method: c.Method, Path: c.Path}},
-		Concurrency: c.Concurrency,
-		Duration:    c.Duration,
-		MaxRequests: c.Requests,
-	})
-	return json.NewEncoder(os.Stdout).Encode(summary)
-}
--- a/internal/replay/players.go
+++ b/internal/replay/players.go
@@ -27,7 +27,7 @@
 
 func newAdmissionPlayer(setting Setting) player {
 	return &admissionPlayer{
-		controller: admission.NewController(start, admission.Config{MaximumLimit: setting.Limit, FixedLimit: true, QueueTime: setting.QueueTime}),
+		controller: admission.NewController(start, admission.Config{MinimumLimit: setting.Limit, MaximumLimit: setting.Limit, QueueTime: setting.QueueTime}),
 		tickets:    map[string]*admission.Ticket{},
 	}
 }
