--- a/cmd/loomcleat-lab/main.go
+++ b/cmd/loomcleat-lab/main.go
@@ -1,4 +1,4 @@
-// Command loomcleat-lab runs stand-ins, load and measurements for loomcleat.
+// Command loomcleat-lab plays recorded traces and soaks real processes under faults.
 package main
 
 import (
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -19,9 +19,8 @@
 	"testing"
 	"time"
 
-	_ "github.com/loomcleat/loomcleat/internal/cli" // so that a change of the programs is a change of these tests
+	_ "github.com/loomcleat/loomcleat/internal/cli" // so that go test does not take an earlier result from its cache
 	"github.com/loomcleat/loomcleat/internal/freeport"
-	_ "github.com/loomcleat/loomcleat/internal/labcli" // the same; go test would take their result from its cache
 	"github.com/loomcleat/loomcleat/internal/standin/backend"
 	"github.com/loomcleat/loomcleat/internal/standin/consul"
 	"github.com/loomcleat/loomcleat/store/consulkv"
@@ -37,7 +36,7 @@
 		panic(err)
 	}
 	binaries = folder
-	build := exec.Command("go", "build", "-o", folder, "../cmd/loomcleat", "../cmd/loomcleat-lab")
+	build := exec.Command("go", "build", "-o", folder, "../cmd/loomcleat")
 	if output, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, output)
 		os.Exit(1)
@@ -150,17 +149,42 @@
 	*program
 	service, zone                          string
 	listen, control, admin, outbound, back string
-	backend                                *program
+	backend                                *standIn
 	arguments                              []string
 }
 
-// cluster is a mesh of real processes. The platform stand-in runs in the test,
-// so that it can be told to fail.
+// standIn is a back end. It runs in the test, so that it can be told to misbehave.
+type standIn struct {
+	*backend.Backend
+	t *testing.T
+}
+
+func startBackend(t *testing.T, config backend.Config) *standIn {
+	t.Helper()
+	started, err := backend.Start(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(started.Close)
+	return &standIn{Backend: started, t: t}
+}
+
+// terminate stops the back end in order: it takes no new requests and ends the others.
+func (s *standIn) terminate() {
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	if err := s.Shutdown(ctx); err != nil {
+		s.t.Errorf("the back end at %s did not end: %v", s.Address(), err)
+	}
+}
+
+// cluster is a mesh of real processes. The stand-in of the platform runs in the test as
+// well.
 type cluster struct {
 	t        *testing.T
 	platform *consul.Server
 	url      string
-	graph    string
+	graph    backend.Graph
 	nodes    []*member
 	gateways []*member
 	extra    []string // settings flags for all
@@ -169,12 +193,9 @@
 }
 
 // newCluster starts the platform.
-func newCluster(t *testing.T, graph string) *cluster {
+func newCluster(t *testing.T, graph backend.Graph) *cluster {
 	t.Helper()
-	c := &cluster{t: t, platform: consul.NewServer(), graph: filepath.Join(t.TempDir(), "graph.yaml")}
-	if err := os.WriteFile(c.graph, []byte(graph), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	c := &cluster{t: t, platform: consul.NewServer(), graph: graph}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +263,7 @@
 func (c *cluster) addNode(service string) *member {
 	c.t.Helper()
 	m := &member{service: service, zone: c.zone(), listen: freePort(c.t), control: freePort(c.t), admin: freePort(c.t), outbound: freePort(c.t), back: freePort(c.t)}
-	m.backend = start(c.t, "backend "+service, "loomcleat-lab", "backend", "--listen", m.back, "--service", service, "--graph", c.graph, "--outbound", m.outbound)
+	m.backend = startBackend(c.t, backend.Config{Service: c.graph[service], Address: m.back, Outbound: m.outbound, KeepRecord: true})
 	m.arguments = append([]string{"node", "--service", service, "--backend", m.back, "--outbound", m.outbound}, c.common(m)...)
 	c.launch(m)
 	c.nodes = append(c.nodes, m)
@@ -391,27 +412,12 @@
 	return answered{status: response.StatusCode, header: response.Header, body: string(body)}, err
 }
 
-// runs returns the record of what the back end of a node ran.
-func (m *member) runs(t *testing.T) []backend.Run {
-	t.Helper()
-	response, err := httpClient.Get("http://" + m.back + "/_stub/runs")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer response.Body.Close()
-	var runs []backend.Run
-	if err := json.NewDecoder(response.Body).Decode(&runs); err != nil {
-		t.Fatal(err)
-	}
-	return runs
-}
-
 // countRuns counts the runs of all back ends with the given tag.
 func (c *cluster) countRuns(tag string) int {
 	c.t.Helper()
 	count := 0
 	for _, m := range c.nodes {
-		for _, run := range m.runs(c.t) {
+		for _, run := range m.backend.Runs() {
 			if run.Tag == tag {
 				count++
 			}
@@ -420,20 +426,6 @@
 	return count
 }
 
-// faults makes the back end of a node misbehave.
-func (m *member) faults(t *testing.T, faults backend.Faults) {
-	t.Helper()
-	data, err := json.Marshal(faults)
-	if err != nil {
-		t.Fatal(err)
-	}
-	response, err := httpClient.Post("http://"+m.back+"/_stub/faults", "application/json", bytes.NewReader(data))
-	if err != nil {
-		t.Fatal(err)
-	}
-	response.Body.Close()
-}
-
 // command runs the loomcleat command line and returns its output and status.
 func command(t *testing.T, arguments ...string) (string, int) {
 	t.Helper()
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -18,11 +18,12 @@
 
 // paymentGraph has one service that may not be repeated, and one whose back end
 // passes on the refusal of a service that has no nodes.
-const paymentGraph = `
-services:
-  pay: {}
-  careless: {routes: [{match: "POST /x", stages: [[{service: missing, method: POST, path: /x}]]}]}
-`
+var paymentGraph = backend.Graph{
+	"pay": {},
+	"careless": {Routes: []backend.Route{
+		{Match: "POST /x", Stages: [][]backend.Call{{{Service: "missing", Method: "POST", Path: "/x"}}}},
+	}},
+}
 
 // paymentCluster is three nodes of one service in three zones, and two gateways.
 func paymentCluster(t *testing.T) *cluster {
@@ -51,7 +52,7 @@
 	var found *member
 	eventually(c.t, "the request to run", func() bool {
 		for _, m := range c.nodes {
-			for _, run := range m.runs(c.t) {
+			for _, run := range m.backend.Runs() {
 				if run.Tag == tag {
 					found = m
 					return true
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -19,13 +19,16 @@
 
 // chainGraph is a chain of four services, the second of which calls the third
 // twice at once.
-const chainGraph = `
-services:
-  one: {routes: [{match: "* /chain", stages: [[{service: two, method: POST, path: /chain}]]}]}
-  two: {routes: [{match: "* /chain", stages: [[{service: three, method: POST, path: /chain}, {service: three, method: GET, path: /chain}]]}]}
-  three: {routes: [{match: "* /chain", stages: [[{service: four, method: POST, path: /chain}]]}]}
-  four: {}
-`
+var chainGraph = backend.Graph{
+	"one":   {Routes: []backend.Route{{Match: "* /chain", Stages: [][]backend.Call{{chainCall("two", "POST")}}}}},
+	"two":   {Routes: []backend.Route{{Match: "* /chain", Stages: [][]backend.Call{{chainCall("three", "POST"), chainCall("three", "GET")}}}}},
+	"three": {Routes: []backend.Route{{Match: "* /chain", Stages: [][]backend.Call{{chainCall("four", "POST")}}}}},
+	"four":  {},
+}
+
+func chainCall(service, method string) backend.Call {
+	return backend.Call{Service: service, Method: method, Path: "/chain"}
+}
 
 func TestRequestsThroughFourHopsOfRealProcesses(t *testing.T) {
 	is := is.New(t)
@@ -46,7 +49,7 @@
 		counts := []int{}
 		for _, node := range c.nodes {
 			runs := 0
-			for _, run := range node.runs(t) {
+			for _, run := range node.backend.Runs() {
 				if run.Tag == "chain" {
 					runs++
 				}
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -18,11 +18,12 @@
 	"github.com/loomcleat/loomcleat/store/consulkv"
 )
 
-const twoServiceGraph = `
-services:
-  front: {routes: [{match: "* /x", work: 2ms, stages: [[{service: back, method: POST, path: /x}]]}]}
-  back: {routes: [{match: "* /x", work: 5ms}]}
-`
+var twoServiceGraph = backend.Graph{
+	"front": {Routes: []backend.Route{
+		{Match: "* /x", Work: 2 * time.Millisecond, Stages: [][]backend.Call{{{Service: "back", Method: "POST", Path: "/x"}}}},
+	}},
+	"back": {Routes: []backend.Route{{Match: "* /x", Work: 5 * time.Millisecond}}},
+}
 
 // loadOf sends requests through the gateways until it is stopped, and collects
 // what was not answered as promised: a failure, or an outcome that is unknown.
@@ -153,7 +154,7 @@
 		name  string
 		leave func(c *cluster, leaving *member)
 	}{
-		{"the health path says draining", func(_ *cluster, leaving *member) { leaving.faults(t, backend.Faults{Draining: true}) }},
+		{"the health path says draining", func(_ *cluster, leaving *member) { leaving.backend.SetFaults(backend.Faults{Draining: true}) }},
 		{"the back end refuses connections", func(_ *cluster, leaving *member) { leaving.backend.terminate() }},
 		{"the node is told to stop", func(_ *cluster, leaving *member) { leaving.signal(syscall.SIGTERM) }},
 		{"the machine list says leaving", func(c *cluster, leaving *member) {
@@ -188,7 +189,7 @@
 				is.Equal(got.status, 200)
 			}
 			late := 0
-			for _, run := range second.runs(t) {
+			for _, run := range second.backend.Runs() {
 				if strings.HasPrefix(run.Tag, "late") {
 					late++
 				}
@@ -225,7 +226,7 @@
 	c.runner("long")
 	node.signal(syscall.SIGTERM)
 	gateway.signal(syscall.SIGTERM)
-	node.backend.signal(syscall.SIGTERM)
+	go node.backend.terminate()
 	got := <-done
 	is.Equal(got.status, 200)
 	is.Equal(len(got.body), 100000)
--- a/internal/lab/bench_test.go
+++ b/internal/lab/bench_test.go
@@ -21,7 +21,7 @@
 func BenchmarkCall(b *testing.B) {
 	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
 	defer cancel()
-	graph := backend.Graph{Services: map[string]backend.Service{"s0": {}}}
+	graph := backend.Graph{"s0": {}}
 	// The limit must not refuse any of the callers: the added time is measured.
 	enough := []policy.Change{{Path: "/", Key: "concurrency_min", Value: "100"}, {Path: "/", Key: "queue_time", Value: "5s"}}
 	mesh, err := StartMesh(ctx, MeshConfig{Graph: graph, Backends: 1, Gateways: 1, Policy: enough})
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -1,25 +1,27 @@
 package lab
 
 import (
+	"time"
+
 	"github.com/loomcleat/loomcleat/internal/standin/backend"
 	"github.com/loomcleat/loomcleat/policy"
 )
 
 // DemoGraph is the call graph of the demo: bookings check a fare and charge.
 func DemoGraph() backend.Graph {
-	return backend.Graph{Services: map[string]backend.Service{
+	return backend.Graph{
 		"booking": {Slots: 20, Queue: 100, Routes: []backend.Route{
-			{Match: "POST /bookings", Work: "2ms", Stages: [][]backend.Call{
+			{Match: "POST /bookings", Work: 2 * time.Millisecond, Stages: [][]backend.Call{
 				{{Service: "payment", Method: "GET", Path: "/fares/1"}},
 				{{Service: "payment", Method: "POST", Path: "/charges"}},
 			}},
-			{Match: "GET /**", Work: "1ms"},
+			{Match: "GET /**", Work: 1 * time.Millisecond},
 		}},
 		"payment": {Slots: 20, Queue: 100, Routes: []backend.Route{
-			{Match: "POST /charges", Work: "3ms"},
-			{Match: "GET /**", Work: "1ms"},
+			{Match: "POST /charges", Work: 3 * time.Millisecond},
+			{Match: "GET /**", Work: 1 * time.Millisecond},
 		}},
-	}}
+	}
 }
 
 // DemoPolicy is the policy tree of the demo.
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -50,7 +50,6 @@
 	Process *kernel.Process
 	Backend *backend.Backend
 	Service string
-	server  *http.Server
 }
 
 // Mesh is a running mesh.
@@ -81,7 +80,7 @@
 	if err := m.startPlatform(ctx); err != nil {
 		return nil, err
 	}
-	for service := range config.Graph.Services {
+	for service := range config.Graph {
 		for range config.Backends {
 			if _, err := m.AddNode(service); err != nil {
 				return nil, err
@@ -171,21 +170,17 @@
 
 // AddNode starts a back end and its node.
 func (m *Mesh) AddNode(service string) (*Node, error) {
-	stub, err := backend.New(m.config.Graph.Services[service], "", m.config.KeepRecords)
+	stub, err := backend.Start(backend.Config{Service: m.config.Graph[service], KeepRecord: m.config.KeepRecords})
 	if err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	node := &Node{Backend: stub, Service: service, server: &http.Server{Handler: stub, ReadHeaderTimeout: 10 * time.Second}}
-	go func() { _ = node.server.Serve(listener) }()
+	node := &Node{Backend: stub, Service: service}
 	s := m.settingsFor(settings.RoleNode)
 	s.Service = service
-	s.Backend = listener.Addr().String()
+	s.Backend = stub.Address()
 	s.BackendHealthPath = backend.HealthPath
 	if node.Process, err = m.open(s); err != nil {
+		stub.Close()
 		return nil, err
 	}
 	stub.SetOutbound(node.Process.OutboundAddress())
@@ -198,13 +193,7 @@
 // Stop ends a node and its back end in order.
 func (n *Node) Stop() {
 	_ = n.Process.Stop(context.Background())
-	_ = n.server.Shutdown(context.Background())
-}
-
-// Kill ends a node and its back end at once.
-func (n *Node) Kill() {
-	n.Process.Kill()
-	_ = n.server.Close()
+	_ = n.Backend.Shutdown(context.Background())
 }
 
 // Processes returns all processes.
@@ -266,7 +255,7 @@
 		process.Kill()
 	}
 	for _, node := range m.Nodes {
-		_ = node.server.Close()
+		node.Backend.Close()
 	}
 	_ = m.server.Close()
 	m.Store.Close()
--- a/internal/lab/mesh_test.go
+++ b/internal/lab/mesh_test.go
@@ -58,7 +58,7 @@
 // chainOf returns a call graph in which each service makes width calls at once
 // to the next one.
 func chainOf(depth, width int) backend.Graph {
-	graph := backend.Graph{Services: map[string]backend.Service{}}
+	graph := backend.Graph{}
 	for i := range depth {
 		service := backend.Service{}
 		if i < depth-1 {
@@ -68,7 +68,7 @@
 			}
 			service.Routes = []backend.Route{{Match: "* /x", Stages: [][]backend.Call{stage}}}
 		}
-		graph.Services[fmt.Sprintf("s%d", i)] = service
+		graph[fmt.Sprintf("s%d", i)] = service
 	}
 	return graph
 }
@@ -289,7 +289,7 @@
 // requests while a few critical ones arrive.
 func TestTheLessImportantIsRefusedFirst(t *testing.T) {
 	is := is.New(t)
-	graph := backend.Graph{Services: map[string]backend.Service{"s0": {Slots: 4, Queue: 1000, Routes: []backend.Route{{Match: "* /**", Work: "5ms"}}}}}
+	graph := backend.Graph{"s0": {Slots: 4, Queue: 1000, Routes: []backend.Route{{Match: "* /**", Work: 5 * time.Millisecond}}}}
 	mesh := startTestMesh(t, MeshConfig{Graph: graph, Backends: 1, Gateways: 1, Policy: []policy.Change{
 		{Path: "t/f/s0 * /bulk", Key: "class", Value: "bulk"},
 		{Path: "t/f/s0 * /pay", Key: "class", Value: "critical"},
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -38,48 +38,62 @@
 // streamedSize is the size from which on bodies are echoed while they arrive.
 const streamedSize = 64 << 10
 
-// controlPrefix starts the paths of the stand-in's own controls.
-const controlPrefix = "/_stub/"
+// HealthPath is the path on which the stand-in says that it is draining.
+const HealthPath = "/_stub/health"
 
 // Run is one request that the stand-in ran.
 type Run struct {
-	Tag    string `json:"tag"`
-	Method string `json:"method"`
-	Target string `json:"target"`
-	Key    string `json:"key"` // Idempotency-Key
+	Tag    string
+	Method string
+	Target string
+	Key    string // Idempotency-Key
 }
 
 // Faults says how the stand-in misbehaves. The zero value is a healthy one.
 type Faults struct {
-	SlowFactor float64 `json:"slow_factor"` // times the work, 0: as configured
-	FailShare  float64 `json:"fail_share"`  // share of requests that fail after they ran
-	CutShare   float64 `json:"cut_share"`   // share whose answer is cut off after they ran
-	Draining   bool    `json:"draining"`    // says so on the health path
-	HealthLies bool    `json:"health_lies"` // the health path says that it is unwell
+	FailShare float64 // share of requests that fail after they ran
+	CutShare  float64 // share whose answer is cut off after they ran
+	Draining  bool    // says so on the health path
+}
+
+// Config configures a Backend.
+type Config struct {
+	Service Service
+	// Address is where it listens, IP:port. Default a free port of 127.0.0.1.
+	Address string
+	// Outbound is the address of its node, for calls. SetOutbound sets it later.
+	Outbound string
+	// KeepRecord keeps each run in memory.
+	KeepRecord bool
 }
 
-// Backend is the stand-in.
+// Backend is a stand-in that serves.
 type Backend struct {
-	service  Service
-	outbound string // address for calls, "" for none
-	client   *http.Client
-	slots    chan struct{}
-	waiting  chan struct{}
+	service Service
+	keep    bool
+	client  *http.Client
+	server  *http.Server
+	address string
+	slots   chan struct{}
+	waiting chan struct{}
 
-	mutex  sync.Mutex
-	runs   []Run
-	count  int
-	faults Faults
-	keep   bool
+	mutex    sync.Mutex
+	outbound string
+	runs     []Run
+	faults   Faults
 }
 
-// New returns a stand-in for one back end of service. Calls go to outbound, the
-// address of its node. keepRecord keeps every run in memory.
-func New(service Service, outbound string, keepRecord bool) (*Backend, error) {
+// headerTimeout is the time within which the head of a request must have come.
+const headerTimeout = 10 * time.Second
+
+// Start starts a stand-in. It returns an error when a route of the service cannot be
+// parsed or the address is not free.
+func Start(config Config) (*Backend, error) {
+	service := config.Service
 	if err := service.prepare(); err != nil {
 		return nil, err
 	}
-	b := &Backend{service: service, outbound: outbound, keep: keepRecord}
+	b := &Backend{service: service, outbound: config.Outbound, keep: config.KeepRecord}
 	b.client = &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64,
 		DisableCompression:  true,
@@ -90,9 +104,29 @@
 		b.slots = make(chan struct{}, service.Slots)
 		b.waiting = make(chan struct{}, service.Slots+service.Queue)
 	}
+	address := config.Address
+	if address == "" {
+		address = "127.0.0.1:0"
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("starting a back end: %w", err)
+	}
+	b.address = listener.Addr().String()
+	b.server = &http.Server{Handler: b, ReadHeaderTimeout: headerTimeout}
+	go func() { _ = b.server.Serve(listener) }() // it ends with Shutdown or Close
 	return b, nil
 }
 
+// Address returns where the stand-in listens.
+func (b *Backend) Address() string { return b.address }
+
+// Shutdown takes no new requests and waits until the others have ended, or ctx has.
+func (b *Backend) Shutdown(ctx context.Context) error { return b.server.Shutdown(ctx) }
+
+// Close ends the stand-in at once.
+func (b *Backend) Close() { _ = b.server.Close() }
+
 // SetFaults replaces the faults in force.
 func (b *Backend) SetFaults(faults Faults) {
 	b.mutex.Lock()
@@ -114,13 +148,6 @@
 	return append([]Run{}, b.runs...)
 }
 
-// Count returns the number of requests that were run.
-func (b *Backend) Count() int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.count
-}
-
 func (b *Backend) currentFaults() Faults {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -129,8 +156,8 @@
 
 // ServeHTTP implements http.Handler.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if strings.HasPrefix(r.URL.Path, controlPrefix) {
-		b.serveControl(w, r)
+	if r.URL.Path == HealthPath {
+		b.serveHealth(w)
 		return
 	}
 	if r.ContentLength >= 0 && r.ContentLength <= streamedSize {
@@ -152,7 +179,7 @@
 	b.record(r)
 	route := b.service.find(r.Method, r.URL.EscapedPath())
 	faults := b.currentFaults()
-	b.work(r, route, faults)
+	b.work(r, route)
 	if status, outcome := b.makeCalls(r, route); status != 0 {
 		if outcome != "" {
 			w.Header().Set(result.HeaderOutcome, outcome) // as a careless back end would
@@ -192,7 +219,6 @@
 func (b *Backend) record(r *http.Request) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.count++
 	if b.keep {
 		b.runs = append(b.runs, Run{
 			Tag:    r.Header.Get(HeaderTag),
@@ -204,11 +230,8 @@
 }
 
 // work takes the time of the route. It ends early when the caller cancels.
-func (b *Backend) work(r *http.Request, route *Route, faults Faults) {
-	wait := route.work
-	if faults.SlowFactor > 0 {
-		wait = time.Duration(float64(wait) * faults.SlowFactor)
-	}
+func (b *Backend) work(r *http.Request, route *Route) {
+	wait := route.Work
 	if extra, err := time.ParseDuration(r.Header.Get(HeaderDelay)); err == nil {
 		wait += extra
 	}
@@ -325,53 +348,10 @@
 	return n, err
 }
 
-func (b *Backend) serveControl(w http.ResponseWriter, r *http.Request) {
-	switch strings.TrimPrefix(r.URL.Path, controlPrefix) {
-	case "runs":
-		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(b.Runs())
-	case "count":
-		_, _ = io.WriteString(w, strconv.Itoa(b.Count()))
-	case "faults":
-		var faults Faults
-		if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		b.SetFaults(faults)
-	case "health":
-		b.serveHealth(w)
-	default:
-		http.NotFound(w, r)
-	}
-}
-
-// HealthPath is the path on which the stand-in says that it is draining.
-const HealthPath = controlPrefix + "health"
-
 func (b *Backend) serveHealth(w http.ResponseWriter) {
-	faults := b.currentFaults()
-	switch {
-	case faults.Draining:
+	if b.currentFaults().Draining {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
-	case faults.HealthLies:
-		http.Error(w, "unwell", http.StatusInternalServerError)
-	default:
-		_, _ = io.WriteString(w, "ok")
-	}
-}
-
-// Serve serves on the listener until ctx ends, then drains.
-func Serve(ctx context.Context, listener net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
-	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(listener) }()
-	select {
-	case err := <-failed:
-		return err
-	case <-ctx.Done():
+		return
 	}
-	stop, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-	defer cancel()
-	return server.Shutdown(stop)
+	_, _ = io.WriteString(w, "ok")
 }
