--- a/internal/lab/mesh_test.go
+++ b/internal/lab/mesh_test.go
@@ -16,6 +16,7 @@
 	"github.com/loomcleat/loomcleat/internal/standin/backend"
 	"github.com/loomcleat/loomcleat/internal/standin/consul"
 	"github.com/loomcleat/loomcleat/policy"
+	"github.com/loomcleat/loomcleat/policy/editor"
 	"github.com/loomcleat/loomcleat/settings"
 )
 
@@ -194,16 +195,16 @@
 	const operators, edits = 4, 5
 	for operator := range operators {
 		group.Go(func() {
-			for edit := range edits {
-				change := policy.Change{Path: fmt.Sprintf("t/f/s%d-%d", operator, edit), Key: "retry_budget", Value: "2"}
-				if err := mesh.Edit(ctx, change); err != nil {
+			for number := range edits {
+				change := policy.Change{Path: fmt.Sprintf("t/f/s%d-%d", operator, number), Key: "retry_budget", Value: "2"}
+				if err := edit(ctx, mesh, change); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
 	group.Wait()
-	is.NoErr(mesh.WaitRevision(ctx, 1+operators*edits))
+	is.NoErr(waitRevision(ctx, mesh, 1+operators*edits))
 }
 
 func TestEditsUnderFaultsOfTheStore(t *testing.T) {
@@ -213,7 +214,7 @@
 		edits bool // an edit is accepted under the fault
 	}{
 		{"answers lost after the write", consul.Faults{LoseAnswers: 2}, true},
-		{"slow", consul.Faults{Delay: consul.Duration(300 * time.Millisecond)}, true},
+		{"slow", consul.Faults{Delay: 300 * time.Millisecond}, true},
 		{"rate limited", consul.Faults{RatePerSecond: 10}, true},
 		{"an older revision is shown", consul.Faults{StaleReads: 3}, true},
 		{"down", consul.Faults{Down: true}, false},
@@ -228,7 +229,7 @@
 			defer watched.stop(t)
 			mesh.Platform.SetFaults(c.fault)
 			if !c.edits {
-				is.True(mesh.Edit(ctx, policy.Change{Path: "t", Key: "class", Value: "critical"}) != nil)
+				is.True(edit(ctx, mesh, policy.Change{Path: "t", Key: "class", Value: "critical"}) != nil)
 				// A process that starts now gets the policy from its peers.
 				_, err := mesh.AddGateway()
 				is.NoErr(err)
@@ -237,17 +238,35 @@
 				mesh.Platform.SetFaults(consul.Faults{})
 			}
 			for { // operators try again
-				err := mesh.Edit(ctx, policy.Change{Path: "t", Key: "class", Value: "critical"})
+				err := edit(ctx, mesh, policy.Change{Path: "t", Key: "class", Value: "critical"})
 				if err == nil {
 					break
 				}
 				is.NoErr(ctx.Err())
 			}
-			is.NoErr(mesh.WaitRevision(ctx, 2))
+			is.NoErr(waitRevision(ctx, mesh, 2))
 		})
 	}
 }
 
+// edit makes one edit of the policy tree.
+func edit(ctx context.Context, mesh *Mesh, changes ...policy.Change) error {
+	_, err := editor.New(mesh.Store, "lab").Apply(ctx, changes)
+	return err
+}
+
+// waitRevision waits until all processes have the policy revision.
+func waitRevision(ctx context.Context, mesh *Mesh, revision uint64) error {
+	return waitFor(ctx, fmt.Sprintf("policy revision %d everywhere", revision), func() bool {
+		for _, process := range mesh.Processes() {
+			if process.Documents.Revisions().Policy < revision {
+				return false
+			}
+		}
+		return true
+	})
+}
+
 // revisionWatch looks all the time whether a revision goes back.
 type revisionWatch struct {
 	done   chan struct{}
--- a/internal/standin/consul/server.go
+++ b/internal/standin/consul/server.go
@@ -1,6 +1,6 @@
-// Package consul is a stand-in for the platform's key-value service and machine
-// list. It speaks the part of Consul's HTTP API that package consulkv uses and
-// can be told to fail in the ways that the platform is known to fail.
+// Package consul is a stand-in for a key-value service and a machine list that speak
+// Consul's HTTP API, as far as package consulkv uses it. It owns the machine list; keys,
+// sessions and faults are those of package keyvalue.
 package consul
 
 import (
@@ -8,37 +8,40 @@
 	"io"
 	"net/http"
 	"strconv"
-	"sync"
 	"time"
 
-	"github.com/google/uuid"
+	"github.com/loomcleat/loomcleat/internal/standin/keyvalue"
 )
 
+// Faults says how the stand-in misbehaves.
+type Faults = keyvalue.Faults
+
 // Server is the stand-in. It keeps everything in memory.
 type Server struct {
-	mutex    sync.Mutex
-	index    uint64
-	pairs    map[string]*pair
-	sessions map[string]*session
-	changed  chan struct{} // closed and replaced at each change
+	*keyvalue.Store
 	machines machineList
-	faults   faultState
-	requests uint64
 }
 
-type pair struct {
-	value    []byte
-	index    uint64
-	session  string
-	previous []byte // the value before the last write, for stale reads
-	before   uint64 // its index
-}
+// NewServer returns an empty stand-in.
+func NewServer() *Server { return &Server{Store: keyvalue.New()} }
 
-type session struct {
-	ttl     time.Duration
-	expires time.Time
+// Handler serves the protocol.
+func (s *Server) Handler() http.Handler {
+	routes := http.NewServeMux()
+	routes.HandleFunc("GET /v1/kv/{key...}", s.getPair)
+	routes.HandleFunc("PUT /v1/kv/{key...}", s.putPair)
+	routes.HandleFunc("PUT /v1/session/create", s.createSession)
+	routes.HandleFunc("PUT /v1/session/renew/{id}", s.renewSession)
+	routes.HandleFunc("PUT /v1/session/destroy/{id}", s.destroySession)
+	routes.HandleFunc("GET /v1/catalog/service/{name}", s.listMachines)
+	return s.WithFaults(routes)
 }
 
+const headerIndex = "X-Consul-Index"
+
+// longestWait is the time of a blocking query that names none.
+const longestWait = 5 * time.Minute
+
 // kvRow is a row of the answer to GET /v1/kv.
 type kvRow struct {
 	Key         string
@@ -50,95 +53,41 @@
 	Session     string `json:",omitempty"`
 }
 
-// NewServer returns an empty stand-in.
-func NewServer() *Server {
-	return &Server{
-		index:    1,
-		pairs:    map[string]*pair{},
-		sessions: map[string]*session{},
-		changed:  make(chan struct{}),
-	}
-}
-
-// Handler returns the HTTP handler of the stand-in.
-func (s *Server) Handler() http.Handler {
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/{key...}", s.faulty(s.getPair))
-	mux.HandleFunc("PUT /v1/kv/{key...}", s.faulty(s.putPair))
-	mux.HandleFunc("PUT /v1/session/create", s.faulty(s.createSession))
-	mux.HandleFunc("PUT /v1/session/renew/{id}", s.faulty(s.renewSession))
-	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.faulty(s.destroySession))
-	mux.HandleFunc("GET /v1/catalog/service/{name}", s.faulty(s.listMachines))
-	mux.HandleFunc("PUT /v1/catalog/register", s.registerMachine)
-	mux.HandleFunc("PUT /v1/catalog/deregister", s.deregisterMachine)
-	mux.HandleFunc("PUT /faults", s.putFaults)
-	mux.HandleFunc("GET /faults", s.getFaults)
-	return mux
-}
-
-// Requests returns the number of requests served, without fault control.
-func (s *Server) Requests() uint64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.requests
-}
-
-// touch raises the index and wakes blocking queries. The mutex is held.
-func (s *Server) touch() uint64 {
-	s.index++
-	close(s.changed)
-	s.changed = make(chan struct{})
-	return s.index
-}
-
 func (s *Server) getPair(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
-	after, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
-	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
-	if err != nil {
-		wait = 5 * time.Minute
-	}
-	if after > 0 {
-		s.waitForChange(r, key, after, wait)
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.expireSessions(time.Now())
-	found, exists := s.pairs[key]
+	s.waitForChange(r, key)
+	found, exists, revision := s.Read(key)
 	if !exists {
-		w.Header().Set("X-Consul-Index", strconv.FormatUint(s.index, 10))
+		w.Header().Set(headerIndex, strconv.FormatUint(revision, 10))
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	value, index := found.value, found.index
-	if s.faults.takeStale() && found.before > 0 {
-		value, index = found.previous, found.before
+	w.Header().Set(headerIndex, strconv.FormatUint(found.Revision, 10))
+	row := kvRow{Key: key, Value: found.Value, CreateIndex: found.Created, ModifyIndex: found.Revision}
+	if found.Lease != 0 {
+		row.Session = sessionID(found.Lease)
 	}
-	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	writeJSON(w, []kvRow{{Key: key, Value: value, CreateIndex: index, ModifyIndex: index, Session: found.session}})
+	keyvalue.WriteJSON(w, http.StatusOK, []kvRow{row})
 }
 
-// waitForChange returns when the key's index is above after or wait has passed.
-func (s *Server) waitForChange(r *http.Request, key string, after uint64, wait time.Duration) {
-	deadline := time.NewTimer(wait)
-	defer deadline.Stop()
-	for {
-		s.mutex.Lock()
-		found, exists := s.pairs[key]
-		moved := (exists && found.index > after) || (!exists && s.index > after)
-		changed := s.changed
-		s.mutex.Unlock()
-		if moved {
-			return
-		}
-		select {
-		case <-changed:
-		case <-deadline.C:
-			return
-		case <-r.Context().Done():
-			return
-		}
+// waitForChange lets a blocking query wait until the index of its key, or that of the
+// store while there is no such key, is above the one that it names.
+func (s *Server) waitForChange(r *http.Request, key string) {
+	query := r.URL.Query()
+	index, err := strconv.ParseUint(query.Get("index"), 10, 64)
+	if err != nil || index == 0 {
+		return // no blocking query
 	}
+	wait, err := time.ParseDuration(query.Get("wait"))
+	if err != nil {
+		wait = longestWait
+	}
+	s.Wait(r, wait, func(data *keyvalue.Data) bool {
+		if found, exists := data.Items[key]; exists {
+			return found.Revision > index
+		}
+		return data.Revision > index
+	})
 }
 
 func (s *Server) putPair(w http.ResponseWriter, r *http.Request) {
@@ -148,37 +97,40 @@
 		return
 	}
 	query := r.URL.Query()
-	s.mutex.Lock()
-	s.expireSessions(time.Now())
-	written := s.put(r.PathValue("key"), value, query.Get("cas"), query.Has("cas"), query.Get("acquire"))
-	s.mutex.Unlock()
+	session := sessionOf(query.Get("acquire"))
+	written := false
+	s.Update(func(data *keyvalue.Data) {
+		found, exists := data.Items[r.PathValue("key")]
+		if query.Has("cas") && !matchesIndex(query.Get("cas"), found, exists) {
+			return
+		}
+		if query.Get("acquire") == "" {
+			session = found.Lease
+		} else if !data.Holds(session) || (found.Lease != 0 && found.Lease != session) {
+			return
+		}
+		data.Put(keyvalue.Item{Key: r.PathValue("key"), Value: value, Lease: session})
+		written = true
+	})
 	_, _ = io.WriteString(w, strconv.FormatBool(written))
 }
 
-func (s *Server) put(key string, value []byte, cas string, hasCAS bool, acquire string) bool {
-	found, exists := s.pairs[key]
-	if hasCAS {
-		want, err := strconv.ParseUint(cas, 10, 64)
-		if err != nil || (want == 0) == exists || (exists && want != found.index) {
-			return false
-		}
-	}
-	if acquire != "" {
-		_, alive := s.sessions[acquire]
-		if !alive || (exists && found.session != "" && found.session != acquire) {
-			return false
-		}
-	}
-	next := &pair{value: value, session: acquire}
-	if exists {
-		next.previous, next.before = found.value, found.index
-		if acquire == "" {
-			next.session = found.session
-		}
+// matchesIndex reports whether a key has the index of a check-and-set; 0: no such key.
+func matchesIndex(index string, found keyvalue.Item, exists bool) bool {
+	wanted, err := strconv.ParseUint(index, 10, 64)
+	return err == nil && (wanted == 0) != exists && wanted == found.Revision
+}
+
+// sessionID returns the id of a session in the protocol.
+func sessionID(lease int64) string { return strconv.FormatInt(lease, 10) }
+
+// sessionOf returns the lease of a session, 0 for an id that was never given.
+func sessionOf(id string) int64 {
+	lease, err := strconv.ParseInt(id, 10, 64)
+	if err != nil {
+		return 0
 	}
-	next.index = s.touch()
-	s.pairs[key] = next
-	return true
+	return lease
 }
 
 type sessionRequest struct {
@@ -200,56 +152,23 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	id := uuid.NewString()
-	s.mutex.Lock()
-	s.sessions[id] = &session{ttl: ttl, expires: time.Now().Add(ttl)}
-	s.mutex.Unlock()
-	writeJSON(w, sessionAnswer{ID: id})
+	var lease int64
+	s.Update(func(data *keyvalue.Data) { lease = data.Grant(ttl) })
+	keyvalue.WriteJSON(w, http.StatusOK, sessionAnswer{ID: sessionID(lease)})
 }
 
 func (s *Server) renewSession(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	s.mutex.Lock()
-	s.expireSessions(time.Now())
-	found, alive := s.sessions[id]
-	if alive {
-		found.expires = time.Now().Add(found.ttl)
-	}
-	s.mutex.Unlock()
-	if !alive {
+	renewed := false
+	s.Update(func(data *keyvalue.Data) { renewed = data.Renew(sessionOf(id)) })
+	if !renewed {
 		http.NotFound(w, r)
 		return
 	}
-	writeJSON(w, []sessionAnswer{{ID: id}})
+	keyvalue.WriteJSON(w, http.StatusOK, []sessionAnswer{{ID: id}})
 }
 
 func (s *Server) destroySession(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
-	s.endSession(r.PathValue("id"))
-	s.mutex.Unlock()
+	s.Update(func(data *keyvalue.Data) { data.Revoke(sessionOf(r.PathValue("id"))) })
 	_, _ = io.WriteString(w, "true")
 }
-
-func (s *Server) expireSessions(now time.Time) {
-	for id, candidate := range s.sessions {
-		if now.After(candidate.expires) {
-			s.endSession(id)
-		}
-	}
-}
-
-// endSession removes a session and the keys that it holds.
-func (s *Server) endSession(id string) {
-	delete(s.sessions, id)
-	for key, candidate := range s.pairs {
-		if candidate.session == id {
-			delete(s.pairs, key)
-			s.touch()
-		}
-	}
-}
-
-func writeJSON(w http.ResponseWriter, value any) {
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value)
-}
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -1,68 +1,32 @@
 // Package metastore is a stand-in for the metadata store of the users' platform,
-// written from its published protocol. It keeps everything in memory and can be
-// told to fail in the ways that the pages name.
+// written from its published protocol. Keys, leases, history and faults are those of
+// package keyvalue.
 //
-// It belongs to the tests: nothing of the product but package platform speaks
-// its protocol.
+// It belongs to the tests and to the soak: nothing of the product but package platform
+// speaks its protocol.
 package metastore
 
 import (
-	"bytes"
 	"encoding/json"
-	"io"
 	"net/http"
-	"net/http/httptest"
 	"sort"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
-)
 
-// Item is one key.
-type Item struct {
-	Key      string `json:"private_key"`
-	Value    []byte `json:"value,omitempty"`
-	Revision uint64 `json:"revision"`
-	Created  uint64 `json:"created,omitempty"`
-	Lease    int64  `json:"lease"`
-	Gone     bool   `json:"gone,omitempty"`
-}
+	"github.com/loomcleat/loomcleat/internal/standin/keyvalue"
+)
 
-// Faults says how the stand-in misbehaves. The zero value is a healthy one.
-type Faults struct {
-	Status     int           // answer every call with it, 0: none
-	Silent     bool          // never answer
-	Delay      time.Duration // before each answer
-	LoseWrites int           // so many writes are done and not answered
-	MuteWaits  bool          // waits hear of nothing, and are never answered
-	Garbage    bool          // answers are not JSON
-}
+// Faults says how the stand-in misbehaves.
+type Faults = keyvalue.Faults
 
-// Server is the stand-in.
+// Server is the stand-in. It keeps everything in memory.
 type Server struct {
-	mutex    sync.Mutex
-	faults   Faults
-	revision uint64
-	oldest   uint64 // history begins after it
-	items    map[string]Item
-	events   []Item
-	leases   map[int64]bool
-	changed  chan struct{} // closed at the next change
-	calls    map[string]int
+	*keyvalue.Store
 }
 
 // NewServer returns an empty store.
-func NewServer() *Server {
-	return &Server{items: map[string]Item{}, leases: map[int64]bool{}, changed: make(chan struct{}), calls: map[string]int{}}
-}
-
-// SetFaults replaces the faults in force.
-func (s *Server) SetFaults(faults Faults) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.faults = faults
-}
+func NewServer() *Server { return &Server{keyvalue.New()} }
 
 // keyConfiguration is where the operator keeps the configuration.
 const keyConfiguration = "op/config"
@@ -72,54 +36,11 @@
 
 // Put writes a key as the operator does.
 func (s *Server) Put(key string, value []byte) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.put(Item{Key: key, Value: value})
-	s.notify()
+	s.Update(func(data *keyvalue.Data) { data.Put(keyvalue.Item{Key: key, Value: value}) })
 }
 
 // ForgetHistory drops the history, so that waits from before it get 410.
-func (s *Server) ForgetHistory() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.events, s.oldest = nil, s.revision
-	s.notify()
-}
-
-// Calls returns the number of calls of a path.
-func (s *Server) Calls(path string) int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.calls[path]
-}
-
-// put changes a key under a new revision. The mutex is held.
-func (s *Server) put(item Item) {
-	s.revision++
-	item.Revision = s.revision
-	item.Created = s.revision
-	if before, exists := s.items[item.Key]; exists {
-		item.Created = before.Created
-	}
-	s.items[item.Key] = item
-	s.events = append(s.events, item)
-}
-
-// remove removes a key. The mutex is held.
-func (s *Server) remove(key string) {
-	if _, exists := s.items[key]; !exists {
-		return
-	}
-	s.revision++
-	delete(s.items, key)
-	s.events = append(s.events, Item{Key: key, Revision: s.revision, Gone: true})
-}
-
-// notify wakes those who wait. The mutex is held.
-func (s *Server) notify() {
-	close(s.changed)
-	s.changed = make(chan struct{})
-}
+func (s *Server) ForgetHistory() { s.Update((*keyvalue.Data).ForgetHistory) }
 
 // Handler serves the protocol.
 func (s *Server) Handler() http.Handler {
@@ -131,52 +52,21 @@
 	routes.HandleFunc("POST /-/kv-lease", s.serveLease)
 	routes.HandleFunc("POST /-/kv-keep/{id}", s.serveKeep)
 	routes.HandleFunc("DELETE /-/kv-lease-end/{id}", s.serveLeaseEnd)
-	return s.withFaults(routes)
+	return s.WithFaults(routes)
 }
 
-// withFaults puts the faults in front of the protocol.
-func (s *Server) withFaults(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A server notices that a client has left only once the body is read.
-		body, _ := io.ReadAll(r.Body)
-		r.Body = io.NopCloser(bytes.NewReader(body))
-		s.mutex.Lock()
-		faults := s.faults
-		s.calls[r.URL.Path]++
-		lose := r.Method != http.MethodGet && s.faults.LoseWrites > 0
-		if lose {
-			s.faults.LoseWrites--
-		}
-		s.mutex.Unlock()
-		select {
-		case <-time.After(faults.Delay):
-		case <-r.Context().Done():
-			return
-		}
-		switch {
-		case faults.Silent:
-			<-r.Context().Done()
-		case faults.Status != 0:
-			w.WriteHeader(faults.Status)
-		case faults.Garbage:
-			_, _ = w.Write([]byte("<html>"))
-		case lose:
-			next.ServeHTTP(httptest.NewRecorder(), r)
-			panic(http.ErrAbortHandler)
-		default:
-			next.ServeHTTP(w, r)
-		}
-	})
-}
-
-func answer(w http.ResponseWriter, status int, value any) {
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value)
+// item is a key in the protocol. Its fields are those of keyvalue.Item.
+type item struct {
+	Key      string `json:"private_key"`
+	Value    []byte `json:"value,omitempty"`
+	Revision uint64 `json:"revision"`
+	Created  uint64 `json:"created,omitempty"`
+	Lease    int64  `json:"lease"`
+	Gone     bool   `json:"gone,omitempty"`
 }
 
 type keyAnswer struct {
-	Item
+	item
 	At uint64 `json:"at"`
 }
 
@@ -185,18 +75,16 @@
 }
 
 func (s *Server) serveKey(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	item, exists := s.items[r.URL.Query().Get("private_key")]
+	found, exists, revision := s.Read(r.URL.Query().Get("private_key"))
 	if !exists {
-		answer(w, http.StatusNotFound, positionAnswer{At: s.revision})
+		keyvalue.WriteJSON(w, http.StatusNotFound, positionAnswer{At: revision})
 		return
 	}
-	answer(w, http.StatusOK, keyAnswer{Item: item, At: s.revision})
+	keyvalue.WriteJSON(w, http.StatusOK, keyAnswer{item: item(found), At: revision})
 }
 
 type rangeAnswer struct {
-	Items []Item `json:"items"`
+	Items []item `json:"items"`
 	More  bool   `json:"more"`
 	At    uint64 `json:"at"`
 }
@@ -205,77 +93,59 @@
 const pageSize = 3
 
 func (s *Server) serveRange(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
 	prefix, after := r.URL.Query().Get("path_prefix"), r.URL.Query().Get("after")
-	found := rangeAnswer{Items: []Item{}, At: s.revision}
-	for key, item := range s.items {
-		if strings.HasPrefix(key, prefix) && key > after {
-			found.Items = append(found.Items, item)
+	page := rangeAnswer{Items: []item{}}
+	s.Update(func(data *keyvalue.Data) {
+		page.At = data.Revision
+		for key, found := range data.Items {
+			if strings.HasPrefix(key, prefix) && key > after {
+				page.Items = append(page.Items, item(found))
+			}
 		}
+	})
+	sort.Slice(page.Items, func(i, j int) bool { return page.Items[i].Key < page.Items[j].Key })
+	if len(page.Items) > pageSize {
+		page.Items, page.More = page.Items[:pageSize], true
 	}
-	sort.Slice(found.Items, func(i, j int) bool { return found.Items[i].Key < found.Items[j].Key })
-	if len(found.Items) > pageSize {
-		found.Items, found.More = found.Items[:pageSize], true
-	}
-	answer(w, http.StatusOK, found)
+	keyvalue.WriteJSON(w, http.StatusOK, page)
 }
 
 type watchAnswer struct {
-	Events []Item `json:"events"`
+	Events []item `json:"events"`
 	At     uint64 `json:"at"`
 }
 
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
-	wait, _ := strconv.Atoi(query.Get("wait_ms"))
-	timeout := time.After(time.Duration(wait) * time.Millisecond)
-	for {
-		s.mutex.Lock()
-		events, gone, at, changed := s.since(after, query.Get("path_prefix"))
-		mute := s.faults.MuteWaits
-		s.mutex.Unlock()
-		switch {
-		case mute:
-			<-r.Context().Done()
-			return
-		case gone:
-			w.WriteHeader(http.StatusGone)
-			return
-		case len(events) > 0:
-			answer(w, http.StatusOK, watchAnswer{Events: events, At: at})
-			return
-		}
-		select {
-		case <-changed:
-		case <-timeout:
-			answer(w, http.StatusOK, watchAnswer{Events: []Item{}, At: at})
-			return
-		case <-r.Context().Done():
-			return
-		}
-	}
-}
-
-// since returns the events after a revision. The mutex is held.
-func (s *Server) since(after uint64, prefix string) (events []Item, gone bool, at uint64, changed chan struct{}) {
-	for _, event := range s.events {
-		if event.Revision > after && strings.HasPrefix(event.Key, prefix) {
-			events = append(events, event)
+	prefix := query.Get("path_prefix")
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // 0: from the beginning
+	wait, _ := strconv.Atoi(query.Get("wait_ms"))             // 0: at once
+	news := watchAnswer{Events: []item{}}
+	gone := false
+	there := s.Wait(r, time.Duration(wait)*time.Millisecond, func(data *keyvalue.Data) bool {
+		news.At, gone = data.Revision, after < data.Oldest
+		for _, event := range data.Since(after, prefix) {
+			news.Events = append(news.Events, item(event))
 		}
+		return gone || len(news.Events) > 0
+	})
+	switch {
+	case !there:
+	case gone:
+		w.WriteHeader(http.StatusGone)
+	default:
+		keyvalue.WriteJSON(w, http.StatusOK, news)
 	}
-	return events, after < s.oldest, s.revision, s.changed
 }
 
 type transaction struct {
-	Expected []Item   `json:"expected_revision"`
-	Put      []Item   `json:"put"`
+	Expected []item   `json:"expected_revision"`
+	Put      []item   `json:"put"`
 	Remove   []string `json:"remove"`
 }
 
 type conflictAnswer struct {
-	Items []Item `json:"items"`
+	Items []item `json:"items"`
 }
 
 type revisionAnswer struct {
@@ -288,28 +158,27 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, expected := range body.Expected {
-		if s.items[expected.Key].Revision != expected.Revision {
-			answer(w, http.StatusPreconditionFailed, conflictAnswer{Items: []Item{s.items[expected.Key]}})
-			return
+	s.Update(func(data *keyvalue.Data) {
+		for _, expected := range body.Expected {
+			if found := data.Items[expected.Key]; found.Revision != expected.Revision {
+				keyvalue.WriteJSON(w, http.StatusPreconditionFailed, conflictAnswer{Items: []item{item(found)}})
+				return
+			}
 		}
-	}
-	for _, item := range body.Put {
-		if item.Lease != 0 && !s.leases[item.Lease] {
-			w.WriteHeader(http.StatusNotFound)
-			return
+		for _, put := range body.Put {
+			if put.Lease != 0 && !data.Holds(put.Lease) {
+				w.WriteHeader(http.StatusNotFound)
+				return
+			}
 		}
-	}
-	for _, item := range body.Put {
-		s.put(item)
-	}
-	for _, key := range body.Remove {
-		s.remove(key)
-	}
-	s.notify()
-	answer(w, http.StatusOK, revisionAnswer{Revision: s.revision})
+		for _, put := range body.Put {
+			data.Put(keyvalue.Item(put))
+		}
+		for _, key := range body.Remove {
+			data.Remove(key)
+		}
+		keyvalue.WriteJSON(w, http.StatusOK, revisionAnswer{Revision: data.Revision})
+	})
 }
 
 type leaseAnswer struct {
@@ -317,40 +186,38 @@
 	TTL   string `json:"ttl_time"`
 }
 
+// serveLease grants a lease that does not run out, whatever time was asked for.
 func (s *Server) serveLease(w http.ResponseWriter, r *http.Request) {
 	var asked leaseAnswer
 	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	asked.Lease = int64(len(s.leases) + 1)
-	s.leases[asked.Lease] = true
-	answer(w, http.StatusOK, asked)
+	s.Update(func(data *keyvalue.Data) { asked.Lease = data.Grant(0) })
+	keyvalue.WriteJSON(w, http.StatusOK, asked)
 }
 
 func (s *Server) serveKeep(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if !s.leases[id] {
+	id := leaseOf(r)
+	renewed := false
+	s.Update(func(data *keyvalue.Data) { renewed = data.Renew(id) })
+	if !renewed {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, leaseAnswer{Lease: id})
+	keyvalue.WriteJSON(w, http.StatusOK, leaseAnswer{Lease: id})
 }
 
 func (s *Server) serveLeaseEnd(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.leases[id] = false
-	for key, item := range s.items {
-		if item.Lease == id {
-			s.remove(key)
-		}
-	}
-	s.notify()
+	s.Update(func(data *keyvalue.Data) { data.Revoke(leaseOf(r)) })
 	w.WriteHeader(http.StatusOK)
 }
+
+// leaseOf returns the lease that a path names, 0 for none.
+func leaseOf(r *http.Request) int64 {
+	id, err := strconv.ParseInt(r.PathValue("id"), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return id
+}
--- a/store/consulkv/contract_test.go
+++ b/store/consulkv/contract_test.go
@@ -32,7 +32,7 @@
 		case storetest.AnswerLost:
 			stub.SetFaults(consul.Faults{LoseAnswers: 1})
 		case storetest.Slow:
-			stub.SetFaults(consul.Faults{Delay: consul.Duration(time.Hour)})
+			stub.SetFaults(consul.Faults{Delay: time.Hour})
 		}
 	}
 	return storetest.Subject{Store: client, SetFault: setFault, Patience: 10 * clientTimeout}
@@ -56,7 +56,7 @@
 	is.NoErr(err)
 	is.Equal(machines, []store.Machine{{ID: "m1", Control: "127.0.0.1:7001", Zone: "z1", State: store.MachineLive}})
 
-	stub.SetFaults(consul.Faults{MachineLag: consul.Duration(time.Hour)})
+	stub.SetFaults(consul.Faults{MachineLag: time.Hour})
 	row.ServiceMeta = map[string]string{"zone": "z1", "state": "leaving"}
 	stub.Register(row)
 	machines, err = client.List(t.Context())
