--- a/internal/labcli/soak.go
+++ b/internal/labcli/soak.go
@@ -1,9 +1,12 @@
 package labcli
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
+	"os/signal"
+	"syscall"
 	"time"
 
 	"github.com/loomcleat/loomcleat/internal/soak"
@@ -23,7 +26,7 @@
 
 // Run soaks seed after seed. It fails when a promise was broken.
 func (c *soakCommand) Run() error {
-	ctx, stop := untilStopped()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	broken := 0
 	for seed := c.Seed; seed < c.Seed+c.Seeds && ctx.Err() == nil; seed++ {
