--- a/kernel/call.go
+++ b/kernel/call.go
@@ -43,8 +43,6 @@
 	Tenant string
 	// Repeat says that this attempt, or a request above it, is a repeated one.
 	Repeat bool
-	// Arrivals is the number of attempts that may have arrived at a back end.
-	Arrivals int
 	// Tried lists the nodes that earlier attempts went to.
 	Tried []string
 	// Attempt identifies this attempt of the call.
--- a/plugin/retry/limiter.go
+++ b/plugin/retry/limiter.go
@@ -6,20 +6,18 @@
 
 	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/kernel"
-	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/retrybudget"
 )
 
-// limiter bounds the repeated attempts of one process.
+// limiter holds the retry budgets of one process.
 type limiter interface {
 	// begin records a new call.
 	begin(call *kernel.Call)
-	// repeat reports whether there may be another attempt after the given number
-	// of them, and records it.
-	repeat(call *kernel.Call, seen outcome, err error, offers int) bool
-	// offersAreFree reports whether an offer that a node refuses costs nothing, so that
-	// a call may be offered again after a pause.
-	offersAreFree() bool
+	// pay takes one retry of a call from the budgets and reports whether they had one.
+	pay(call *kernel.Call) bool
+	// shared reports whether the budget is that of all processes together, as
+	// retry.Situation.SharedBudget.
+	shared() bool
 }
 
 func newLimiter(process *kernel.Process) limiter {
@@ -48,7 +46,7 @@
 	l.ratio(call, now).Call(now, call.Policy.RetryRatio)
 }
 
-func (l *ratioLimiter) repeat(call *kernel.Call, _ outcome, _ error, _ int) bool {
+func (l *ratioLimiter) pay(call *kernel.Call) bool {
 	if !call.Budget.Spend() {
 		return false
 	}
@@ -58,9 +56,7 @@
 	return l.ratio(call, now).Retry(now)
 }
 
-// offersAreFree implements limiter: each attempt after the first is a retry of the user
-// request, whose number is bounded over its whole call graph.
-func (l *ratioLimiter) offersAreFree() bool { return false }
+func (l *ratioLimiter) shared() bool { return false }
 
 // ratio returns the bucket of the call's service. The mutex is held.
 func (l *ratioLimiter) ratio(call *kernel.Call, now time.Time) *retrybudget.Ratio {
@@ -73,8 +69,7 @@
 }
 
 // sharedLimiter bounds what arrives at the back ends of a service over the whole
-// mesh. An offer that was refused beside the back end has not arrived there and
-// costs nothing, so that only the number of offers of one call is bounded.
+// mesh.
 type sharedLimiter struct {
 	process *kernel.Process
 	config  retrybudget.SharedConfig
@@ -82,14 +77,10 @@
 	budgets map[string]*retrybudget.Shared // by service
 }
 
-// Bounds of the shared limiter.
-const (
-	// maximumOffers bounds the nodes that one call is offered to.
-	maximumOffers = 3
-	// leastProcesses is the number of processes that are assumed to share the
-	// slack while fewer are known, as in a process that is cut off.
-	leastProcesses = 16
-)
+// leastSharing is the number of processes that are taken to share the slack of the
+// budget while membership shows fewer, as in a process that is cut off. It holds at all
+// times, unlike the number that plug-in quota assumes while it has just started.
+const leastSharing = 16
 
 func (l *sharedLimiter) begin(call *kernel.Call) {
 	now := time.Now()
@@ -102,17 +93,7 @@
 	}
 }
 
-func (l *sharedLimiter) repeat(call *kernel.Call, seen outcome, err error, offers int) bool {
-	if offers >= maximumOffers {
-		return false
-	}
-	if seen == notRun && result.From(err).Code != result.BackendRefused {
-		return true
-	}
-	call.Arrivals++
-	if most := call.Policy.MaximumAttempts; most > 0 && call.Arrivals >= most {
-		return false
-	}
+func (l *sharedLimiter) pay(call *kernel.Call) bool {
 	if !call.Budget.Spend() {
 		return false
 	}
@@ -124,13 +105,12 @@
 	return true
 }
 
-// offersAreFree implements limiter.
-func (l *sharedLimiter) offersAreFree() bool { return true }
+func (l *sharedLimiter) shared() bool { return true }
 
 // spend takes one repeated attempt from the budget of the call's service.
 func (l *sharedLimiter) spend(call *kernel.Call) bool {
 	now := time.Now()
-	processes := max(len(*l.process.Members.Load()), leastProcesses)
+	processes := max(len(*l.process.Members.Load()), leastSharing)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	rank := float64(call.Priority) / admission.MaximumPriority
