--- a/plugin/admission/faults.go
+++ b/plugin/admission/faults.go
@@ -29,14 +29,7 @@
 
 // isFault reports whether an error of a request that was handed to the back end is the
 // back end's own fault: its answer was lost or is none.
-func isFault(err error) bool {
-	switch result.From(err).Code {
-	case result.ConnectionLost, result.CrashSuspected, result.AnswerMismatch:
-		return true
-	default:
-		return false
-	}
-}
+func isFault(err error) bool { return result.From(err).Code.Conclusion().BackEndFault }
 
 // isOwnFailure reports whether an answer is a failure of the back end itself, rather
 // than one that follows from a call of its own.
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -88,16 +88,15 @@
 		return balance.Unknown
 	}
 	typed := result.From(err)
-	switch typed.Code {
-	case result.CallerGone, result.CallerCancelled, result.DeadlineTooShort, result.RequestQuarantined:
+	evidence := typed.Code.Conclusion().Node
+	switch {
+	case evidence == result.NoEvidence:
 		return balance.Unknown
-	case result.NodeRefused:
-		return balance.Failed
-	}
-	if typed.NotRun() {
+	case evidence == result.ByRun && typed.NotRun():
 		return balance.Refused
+	default:
+		return balance.Failed
 	}
-	return balance.Failed
 }
 
 // outcomeOfAnswer is the outcome of a whole answer of a back end.
