--- a/plugin/admission/setup.go
+++ b/plugin/admission/setup.go
@@ -103,7 +103,7 @@
 		p.setBounds(call)
 		asked := time.Now()
 		ticket, err := p.wait(call)
-		call.Execution.NotePressure(pressure(call, time.Since(asked), err))
+		call.Execution.NotePressure(admission.WaitPressure(time.Since(asked), call.Policy.QueueTime, err != nil))
 		if err != nil {
 			return nil, err
 		}
@@ -111,18 +111,6 @@
 	})
 }
 
-// refusedPressure is the pressure of a refusal, at least.
-const refusedPressure = 4
-
-// pressure is the time that a call waited as a multiple of what it should wait.
-func pressure(call *kernel.Call, waited time.Duration, err error) float64 {
-	met := waited.Seconds() / call.Policy.QueueTime.Seconds()
-	if err != nil {
-		met = max(met, refusedPressure)
-	}
-	return met
-}
-
 // setBounds passes changed settings of the service to the controller.
 func (p *plugin) setBounds(call *kernel.Call) {
 	wanted := bounds{call.Policy.ConcurrencyMin, call.Policy.ConcurrencyMax, call.Policy.QueueTime}
--- a/plugin/retry/retrier.go
+++ b/plugin/retry/retrier.go
@@ -3,6 +3,7 @@
 import (
 	"io"
 
+	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/retry"
@@ -91,14 +92,10 @@
 	return s
 }
 
-// turnedAwayPressure is the pressure of a call that back ends turned away, and for
-// which there is no other attempt. It is that of a refusal beside a back end
-// (plugin admission): what is admitted for such a service is not finished.
-const turnedAwayPressure = 4
-
+// notePressure records that the back end turned the call away, with no attempt left.
 func notePressure(call *kernel.Call, err error) {
 	if err != nil && result.From(err).Code.Conclusion().ByBackEnd {
-		call.NotePressure(turnedAwayPressure)
+		call.NotePressure(admission.RefusedPressure)
 	}
 }
 
--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -54,10 +54,6 @@
 	}
 }
 
-// timeoutPressure is the pressure of an attempt that was not answered in time:
-// whoever might have told how long it waited did not get to it.
-const timeoutPressure = 3
-
 func intHeader(header http.Header, name string) int {
 	value, err := strconv.Atoi(header.Get(name))
 	if err != nil {
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/balance"
 	"github.com/loomcleat/loomcleat/claims"
 	"github.com/loomcleat/loomcleat/kernel"
@@ -38,7 +39,7 @@
 			call.Budget.Repay(loan, loan) // the loan never left this process
 		}
 		if result.From(err).Code == result.DeadlineExceeded {
-			call.NotePressure(timeoutPressure)
+			call.NotePressure(admission.TimeoutPressure)
 		}
 		finish(outcomeOf(call, err))
 		return nil, err
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -89,32 +89,10 @@
 	return found.gate.Share(), admitted
 }
 
-// wastedPressure is the pressure of a request that was admitted here and failed
-// under pressure further down, after other services may have worked for it. The mean
-// pressure that a gate lets stand is 1, so that one request in wastedPressure may
-// fail. With the pressure of a refused offer, one in four, a mesh stayed in a state
-// in which it worked a quarter of its time in vain.
-const wastedPressure = 10
-
-// objectiveShare is the part of a route's target latency that its requests may take on
-// average while they wait for places. More would leave too little for those that take
-// longer than others; less would leave places idle, and refuse requests that could have
-// been served in time.
-const objectiveShare = 0.7
-
-// pressureOf returns the pressure that a request met, which took a time. What was served
-// after waiting is measured by the objective of its route: a wait that the objective
-// bears is none. A failure without pressure, such as a lost answer, is none of overload.
+// pressureOf returns the pressure that a call counts at the gate of its route.
 func pressureOf(call *kernel.Call, answer *kernel.Answer, err error, taken time.Duration) float64 {
-	waited := call.Pressure > 1
-	switch {
-	case waited && (err != nil || answer.Failed()):
-		return max(call.Pressure, wastedPressure)
-	case waited && call.Policy.TargetLatency > 0:
-		return taken.Seconds() / (objectiveShare * call.Policy.TargetLatency.Seconds())
-	default:
-		return call.Pressure
-	}
+	failed := err != nil || answer.Failed()
+	return admission.RoutePressure(call.Pressure, failed, taken, call.Policy.TargetLatency)
 }
 
 func (s *shed) done(call *kernel.Call, pressure float64) {
--- a/plugin/shed/shed_test.go
+++ b/plugin/shed/shed_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/policy"
 	"github.com/loomcleat/loomcleat/result"
@@ -27,8 +28,8 @@
 	}{
 		"served at once":            {0.1, answered(http.StatusOK), nil, 0.1},
 		"served after a wait":       {3, answered(http.StatusOK), nil, 3},
-		"a call of it was refused":  {4, answered(http.StatusInternalServerError), nil, wastedPressure},
-		"refused everywhere":        {4, nil, result.New(result.Overloaded, "test"), wastedPressure},
+		"a call of it was refused":  {4, answered(http.StatusInternalServerError), nil, admission.WastedPressure},
+		"refused everywhere":        {4, nil, result.New(result.Overloaded, "test"), admission.WastedPressure},
 		"it waited longer still":    {12, nil, result.New(result.DeadlineExceeded, "test"), 12},
 		"the back end failed":       {0.1, answered(http.StatusInternalServerError), nil, 0.1},
 		"the connection was broken": {0, nil, result.New(result.ConnectionLost, "test"), 0},
