--- a/plugin/admission/setup.go
+++ b/plugin/admission/setup.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"io"
-	"math"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -126,25 +125,15 @@
 	p.controller.SetBounds(wanted.minimum, wanted.maximum, wanted.queueTime)
 }
 
-// slots is the number of requests that the back end says it works on at a time,
-// 0 when it does not say. It needs no search for the limit then.
+// slots is the number of the back end's slots that are used, 0 when it does not tell its
+// slots. It needs no search for the limit then.
 func (p *plugin) slots() int {
 	if p.process.BackEnd == nil {
 		return 0
 	}
-	slots := p.process.BackEnd.State().Slots
-	return min(slots, int(math.Ceil(float64(slots)*usableShare)))
+	return admission.UsableSlots(p.process.BackEnd.State().Slots)
 }
 
-// patienceShare is the part of the target latency that a request may wait for a
-// place: a refusal that comes sooner leaves time to come again.
-const patienceShare = 5
-
-// usableShare is the share of the back end's slots that are used. Some back ends
-// become slower when the last ones are taken, and a request that was given up
-// may hold one for a while.
-const usableShare = 0.94
-
 // wait waits for a place.
 func (p *plugin) wait(call *kernel.Call) (*admission.Ticket, error) {
 	verdicts := make(chan admission.Verdict, 1)
@@ -152,7 +141,7 @@
 		Priority:  call.Priority,
 		Deadline:  time.Now().Add(call.Deadline.Left()), // by the clock that measures work
 		Committed: call.Committed(),
-		Patience:  call.Policy.TargetLatency / patienceShare,
+		Patience:  admission.PatienceOf(call.Policy.TargetLatency),
 	}
 	ticket := p.controller.Ask(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
 	select {
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -84,7 +84,7 @@
 	defer s.mutex.Unlock()
 	found := s.route(call, now)
 	found.longest = max(found.longest, call.Patience)
-	admitted = found.gate.Admit(now, rank(found.longest-call.Patience))
+	admitted = found.gate.Admit(now, admission.Rank(found.longest-call.Patience, rand.Float64()))
 	call.RoomAfter = found.gate.Reopens()
 	return found.gate.Share(), admitted
 }
@@ -117,30 +117,3 @@
 	}
 	return found
 }
-
-// Ranks of requests that come again after a refusal, which is seen by the time that they
-// have spent. One that came back after a while goes before most first tries: a gate that
-// opens slowly after overload does not refuse it twice. It does not go before all of them:
-// under lasting overload, a route would serve returned requests only then. One that did
-// not wait goes last.
-const (
-	returnedRanks = 0.5
-	hastyRanks    = 0.6
-	hastyFrom     = 20 * time.Millisecond // less than this is a first try
-	// waitedFrom is the least that any caller is told, less what clocks may differ by.
-	waitedFrom = 90 * time.Millisecond
-)
-
-// rank places a request among those of its route, from 0, the first, up to 1. spent is
-// the time since its first try.
-func rank(spent time.Duration) float64 {
-	even := rand.Float64()
-	switch {
-	case spent < hastyFrom:
-		return even
-	case spent < waitedFrom:
-		return hastyRanks + even*(1-hastyRanks)
-	default:
-		return even * returnedRanks
-	}
-}
