--- a/kernel/call.go
+++ b/kernel/call.go
@@ -85,9 +85,9 @@
 	// RoomAfter is the time after which a call like this one may find room if it is
 	// refused, 0 when nothing is known. Set by the plug-in that admits routes.
 	RoomAfter time.Duration
-	// ReleasePlace gives back the place beside the back end early. Set by the
+	// ReleaseSlot gives back the slot of the back end early. Set by the
 	// admission plug-in, nil before it.
-	ReleasePlace func()
+	ReleaseSlot func()
 }
 
 // NotePressure records the pressure that an attempt of a call to another process met,
--- /dev/null
+++ b/plugin/admission/occupancy.go
@@ -0,0 +1,56 @@
+package admission
+
+import (
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/loomcleat/loomcleat/admission"
+	"github.com/loomcleat/loomcleat/event"
+	"github.com/loomcleat/loomcleat/kernel"
+	"github.com/loomcleat/loomcleat/wire"
+)
+
+// occupancy returns how busy the back end is and logs when overload begins or ends.
+func (a *admitter) occupancy(now time.Time) kernel.Occupancy {
+	state := a.controller.State(now)
+	level := state.Level
+	overloaded := level > 0
+	if a.overloaded.Load() != overloaded && a.overloaded.CompareAndSwap(!overloaded, overloaded) {
+		a.process.Log.Emit(event.AdmissionLevelSet, "overloaded", overloaded, "level", level)
+	}
+	load := float64(state.InFlight+state.Waiting) / float64(max(state.Limit, 1))
+	load = max(load, a.reportedLoad(now))
+	return kernel.Occupancy{Level: level, Load: load, Faults: a.faults.at(now)}
+}
+
+// reportedLoadAge is how long the load that the back end reported is believed. It comes
+// with every answer, so that an older one is of a back end that does not answer.
+const reportedLoadAge = 500 * time.Millisecond
+
+// reportedLoad is the load that the back end reported, 0 when it has not lately. It
+// counts beside what this node has handed to it: a request that was given up may hold a
+// slot still.
+func (a *admitter) reportedLoad(now time.Time) float64 {
+	reported := a.process.BackEndLoad.Load()
+	if reported == nil || now.Sub(reported.At) > reportedLoadAge {
+		return 0
+	}
+	return reported.Share()
+}
+
+func (a *admitter) fillStatus(status *wire.Status) {
+	state := a.controller.State(time.Now())
+	status.Limit, status.Level = state.Limit, state.Level
+}
+
+func (a *admitter) registerMetrics(registry *prometheus.Registry) {
+	gauge := func(name, help string, value func(admission.State) int) {
+		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
+			func() float64 { return float64(value(a.controller.State(time.Now()))) }))
+	}
+	gauge("loomcleat_admission_limit", "Requests that may be in flight to the back end.", func(s admission.State) int { return s.Limit })
+	gauge("loomcleat_admission_in_flight", "Requests in flight to the back end.", func(s admission.State) int { return s.InFlight })
+	gauge("loomcleat_admission_waiting", "Requests waiting for a place.", func(s admission.State) int { return s.Waiting })
+	gauge("loomcleat_admission_level", "Priority below which requests are refused, 0 to 1024.", func(s admission.State) int { return s.Level })
+}
--- a/plugin/admission/setup_test.go
+++ b/plugin/admission/occupancy_test.go
@@ -16,14 +16,14 @@
 func TestLoadIsWhatRunsAndWaits(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	p := &plugin{
+	a := &admitter{
 		process:    &kernel.Process{Log: event.Discard()},
 		controller: admission.NewController(now, admission.Config{MinimumLimit: 4, MaximumLimit: 4, QueueTime: time.Minute}),
 	}
-	is.Equal(p.occupancy(now).Load, 0.0)
+	is.Equal(a.occupancy(now).Load, 0.0)
 	for count, load := range []float64{0.25, 0.5, 0.75, 1, 1.25, 1.5} {
-		p.controller.Ask(now, admission.Request{Priority: admission.MaximumPriority}, func(admission.Verdict) {})
-		if got := p.occupancy(now).Load; got != load {
+		a.controller.Ask(now, admission.Request{Priority: admission.MaximumPriority}, func(admission.Verdict) {})
+		if got := a.occupancy(now).Load; got != load {
 			t.Errorf("%d requests are a load of %.2f, not %.2f", count+1, got, load)
 		}
 	}
@@ -45,15 +45,15 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p := &plugin{
+			a := &admitter{
 				process:    &kernel.Process{Log: event.Discard()},
 				controller: admission.NewController(now, admission.Config{MinimumLimit: 4, MaximumLimit: 4}),
 			}
 			for range 2 {
-				p.controller.Ask(now, admission.Request{}, func(admission.Verdict) {})
+				a.controller.Ask(now, admission.Request{}, func(admission.Verdict) {})
 			}
-			p.process.BackEndLoad.Store(&kernel.ToldLoad{BackEndLoad: wire.BackEndLoad{Running: c.running, Slots: 4}, At: now.Add(-c.age)})
-			is.Equal(p.occupancy(now).Load, c.want)
+			a.process.BackEndLoad.Store(&kernel.ToldLoad{BackEndLoad: wire.BackEndLoad{Running: c.running, Slots: 4}, At: now.Add(-c.age)})
+			is.Equal(a.occupancy(now).Load, c.want)
 		})
 	}
 }
--- /dev/null
+++ b/plugin/admission/wait.go
@@ -0,0 +1,132 @@
+package admission
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/loomcleat/loomcleat/admission"
+	"github.com/loomcleat/loomcleat/kernel"
+	"github.com/loomcleat/loomcleat/result"
+)
+
+// admitter admits the requests of one node.
+type admitter struct {
+	process    *kernel.Process
+	controller *admission.Controller
+	bounds     bounds
+	faults     faults
+	mutex      sync.Mutex
+	overloaded atomic.Bool
+}
+
+// bounds are the settings that the controller was last given.
+type bounds struct {
+	minimum, maximum int
+	queueTime        time.Duration
+}
+
+func (a *admitter) middleware(next kernel.Handler) kernel.Handler {
+	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
+		a.setBounds(call)
+		asked := time.Now()
+		ticket, err := a.wait(call)
+		call.Execution.NotePressure(admission.WaitPressure(time.Since(asked), call.Policy.QueueTime, err != nil))
+		if err != nil {
+			return nil, err
+		}
+		return a.run(next, call, ticket)
+	})
+}
+
+// setBounds passes changed settings of the service to the controller.
+func (a *admitter) setBounds(call *kernel.Call) {
+	wanted := bounds{call.Policy.ConcurrencyMin, call.Policy.ConcurrencyMax, call.Policy.QueueTime}
+	if slots := a.slots(); slots > 0 {
+		wanted.minimum, wanted.maximum = slots, slots
+	}
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if wanted == a.bounds {
+		return
+	}
+	a.bounds = wanted
+	a.controller.SetBounds(wanted.minimum, wanted.maximum, wanted.queueTime)
+}
+
+// slots is the number of the back end's slots that are used, 0 when it does not tell its
+// slots. It needs no search for the limit then.
+func (a *admitter) slots() int {
+	if a.process.BackEnd == nil {
+		return 0
+	}
+	return admission.UsableSlots(a.process.BackEnd.State().Slots)
+}
+
+// wait waits for a slot.
+func (a *admitter) wait(call *kernel.Call) (*admission.Ticket, error) {
+	verdicts := make(chan admission.Verdict, 1)
+	request := admission.Request{
+		Priority:  call.Priority,
+		Deadline:  time.Now().Add(call.Deadline.Left()), // by the clock that measures work
+		Committed: call.Committed(),
+		Patience:  admission.PatienceOf(call.Policy.TargetLatency),
+	}
+	ticket := a.controller.Ask(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
+	select {
+	case verdict := <-verdicts:
+		return ticket, refusal(verdict)
+	default:
+	}
+	// The controller has no clock: it is told when a request has waited enough.
+	// One that may wait as long as it has time is ended by its context.
+	waited := time.NewTimer(call.Policy.QueueTime)
+	defer waited.Stop()
+	if request.Committed {
+		waited.Stop()
+	}
+	for {
+		select {
+		case verdict := <-verdicts:
+			return ticket, refusal(verdict)
+		case <-waited.C:
+			a.controller.Expire(time.Now())
+			waited.Reset(expireAgain)
+		case <-call.Context.Done():
+			return nil, a.withdraw(call, ticket, verdicts)
+		}
+	}
+}
+
+// expireAgain is when the controller is told again, in case the settings gave
+// the request more time than its own policy says.
+const expireAgain = 10 * time.Millisecond
+
+// withdraw gives up waiting. The slot may have become free at the same moment.
+func (a *admitter) withdraw(call *kernel.Call, ticket *admission.Ticket, verdicts <-chan admission.Verdict) error {
+	if !a.controller.Withdraw(ticket) && <-verdicts == admission.Admitted {
+		a.controller.Done(time.Now(), ticket, admission.Outcome{})
+	}
+	if context.Cause(call.Context) == context.DeadlineExceeded {
+		return result.New(result.DeadlineTooShort, "the deadline passed while waiting for a place")
+	}
+	return result.New(result.CallerGone, "the caller went away while waiting for a place")
+}
+
+// retryAfter is the time after which a refused request may come again: about
+// the time in which the level follows a change of demand.
+const retryAfter = time.Second
+
+func refusal(verdict admission.Verdict) error {
+	switch verdict {
+	case admission.Admitted:
+		return nil
+	case admission.TooLate:
+		return result.New(result.DeadlineTooShort, "the back end would not answer within the time left")
+	case admission.BelowLevel:
+		return result.New(result.Overloaded, "the priority is below the admission level").WithRetryAfter(retryAfter)
+	default:
+		return result.New(result.Overloaded, "no place became free in time").WithRetryAfter(retryAfter)
+	}
+}
--- a/plugin/once/once.go
+++ b/plugin/once/once.go
@@ -73,7 +73,7 @@
 	if current.fingerprint != call.Fingerprint {
 		return false, nil, keyReused()
 	}
-	call.ReleasePlace()
+	call.ReleaseSlot()
 	select {
 	case <-current.done:
 	case <-call.Context.Done():
@@ -210,7 +210,7 @@
 	if round.Decision() != claims.Lost {
 		return nil, nil
 	}
-	call.ReleasePlace()
+	call.ReleaseSlot()
 	holder, answer := round.Holder()
 	if holder.Fingerprint != call.Fingerprint {
 		return nil, keyReused()
--- a/plugin/routing/route.go
+++ b/plugin/routing/route.go
@@ -21,26 +21,37 @@
 		return nil, r.noNode(call)
 	}
 	now := time.Now()
-	path := call.Policy.Path
-	level := balancer.Level(now, path)
+	level := balancer.Level(now, call.Policy.Path)
 	if call.Priority < level {
 		noteLevel(call, level)
 	}
-	if call.Priority < level && !call.Committed() && !call.Routed {
+	if call.Priority < level && refusedByLevel(call) {
 		return nil, result.New(result.ShedEarly, "a service on the call path admits only higher priorities now").WithRetryAfter(shedRetryAfter)
 	}
-	need := balance.Need{Path: path, Priority: call.Priority, Exclude: call.Tried, Once: !call.Policy.Repeatable}
-	target, found := balancer.Pick(now, need)
+	target, found := pick(now, balancer, call)
 	if !found {
-		call.Tried, need.Exclude = nil, nil // all were tried: begin again
-		if target, found = balancer.Pick(now, need); !found {
-			return nil, r.noNode(call)
-		}
+		return nil, r.noNode(call)
 	}
 	call.Tried = append(call.Tried, target.ID)
 	return r.attempt(call, balancer, target)
 }
 
+// refusedByLevel reports whether levels refuse calls like this one before they are sent.
+// Committed calls wait beside the back end instead, and where a route table is in force,
+// the gate of the route has admitted the request (plug-in shed).
+func refusedByLevel(call *kernel.Call) bool { return !call.Committed() && !call.Routed }
+
+// pick returns the node for the next attempt: one that was not tried yet, and when all
+// were, any, with the list begun again.
+func pick(now time.Time, balancer *balance.Balancer, call *kernel.Call) (balance.Target, bool) {
+	need := balance.Need{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.Tried, Once: !call.Policy.Repeatable}
+	if target, found := balancer.Pick(now, need); found {
+		return target, true
+	}
+	call.Tried, need.Exclude = nil, nil
+	return balancer.Pick(now, need)
+}
+
 func (r *router) noNode(call *kernel.Call) error {
 	if !call.Policy.Known && r.balancer(call.Service) == nil {
 		return result.New(result.UnknownService, "there is no service %q", call.Service)
--- /dev/null
+++ b/plugin/routing/router.go
@@ -0,0 +1,74 @@
+package routing
+
+import (
+	"sync"
+	"time"
+
+	"github.com/loomcleat/loomcleat/balance"
+	"github.com/loomcleat/loomcleat/event"
+	"github.com/loomcleat/loomcleat/kernel"
+	"github.com/loomcleat/loomcleat/membership"
+)
+
+// router sends the calls of one process to nodes.
+type router struct {
+	process     *kernel.Process
+	transmitter *kernel.Transmitter
+	mutex       sync.RWMutex
+	balancers   map[string]*balance.Balancer // by service
+}
+
+// update takes a new state of the mesh. It runs on the control loop.
+func (r *router) update(_ time.Time, members []membership.Member) {
+	targets := map[string][]balance.Target{}
+	for _, member := range members {
+		if member.Service == "" || member.Traffic == "" {
+			continue
+		}
+		if member.Status == membership.Dead || member.Down {
+			continue
+		}
+		targets[member.Service] = append(targets[member.Service], balance.Target{
+			ID:      member.ID,
+			Address: member.Traffic,
+			Region:  member.Region,
+			Zone:    member.Zone,
+			Suspect: member.Status == membership.Suspect,
+			Leaving: member.Leaving,
+		})
+	}
+	r.mutex.Lock()
+	for service := range targets {
+		if _, exists := r.balancers[service]; !exists {
+			r.balancers[service] = r.newBalancer(service)
+		}
+	}
+	balancers := make(map[string]*balance.Balancer, len(r.balancers))
+	for service, balancer := range r.balancers {
+		balancers[service] = balancer
+	}
+	r.mutex.Unlock()
+	for service, balancer := range balancers {
+		balancer.Update(time.Now(), targets[service]) // balancers measure work
+	}
+}
+
+func (r *router) newBalancer(service string) *balance.Balancer {
+	return balance.New(balance.Config{
+		Region: r.process.Settings.Region,
+		Zone:   r.process.Settings.Zone,
+		OnEject: func(target balance.Target, ejected bool) {
+			number := event.NodeRestored
+			if ejected {
+				number = event.NodeEjected
+			}
+			r.process.Log.Emit(number, "service", service, "node", target.ID)
+		},
+	})
+}
+
+func (r *router) balancer(service string) *balance.Balancer {
+	r.mutex.RLock()
+	defer r.mutex.RUnlock()
+	return r.balancers[service]
+}
