--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,23 +1,28 @@
 // Package balance picks the node that a call goes to.
 //
-// It believes only what it sees on the traffic path: the calls that this
-// process has in flight to a node, how long they took, how they failed, and
-// the admission level that came back with answers. Health and load endpoints
-// are not asked, since they lag and mislead.
+// It owns what this process knows of the nodes of a service: calls in flight, latency,
+// failures, refusals, load and admission levels. All of it comes from the traffic path:
+// from the calls that this process makes and from what nodes report with answers. Health
+// and load endpoints are not asked, since they lag and mislead. Which nodes there are
+// comes from membership, by Update.
 //
-// A few random candidates and one of the own zone are compared and the cheapest is
-// taken (after "the power of two choices"). While sound nodes of the own zone have
-// room, by the load that their answers show, only they are compared. The cost of a
-// node is its smoothed latency times its calls in flight, raised for another zone or
-// region, for a node that has just started, and for one that would refuse the call's
-// priority. A node that fails
-// several times in a row is ejected for a while and then gets one trial call
-// at a time.
+// Pick takes the rules in this order:
+//
+//  1. the best group that is not empty of those that would admit the call's priority,
+//     those that are well, those that do not leave, and all (candidates);
+//  2. for a call that may not be repeated, the nodes with the fewest faults (reliable);
+//  3. sound nodes of the own zone, while they have room (zoneCandidates);
+//  4. of a few random ones and one of the own zone, the one of the lowest cost (cheapest,
+//     cost), after "the power of two choices".
+//
+// A node that fails several times in a row is ejected for a while and then gets one trial
+// call at a time.
 //
 // Balancer is safe for concurrent use and takes the time as an argument.
 package balance
 
 import (
+	"slices"
 	"sync"
 	"time"
 )
@@ -28,7 +33,7 @@
 	config Config
 	states map[string]*state
 	list   []*state
-	fast   float64   // latency of a fast node, seconds
+	fast   float64   // latency of a fast node, seconds (fastLatency)
 	fastAt time.Time // when it was looked for
 }
 
@@ -36,21 +41,21 @@
 type state struct {
 	target       Target
 	inFlight     int
-	latency      float64   // smoothed, seconds
-	learnedAt    time.Time // when latency last changed
-	failures     int       // in a row
-	faults       Share     // of calls that failed
-	told         Share     // of requests that the back end failed, by its node
-	refusals     Share     // of calls that were refused
-	ejections    int       // in a row
+	latency      float64       // smoothed, seconds
+	learnedAt    time.Time     // when latency last changed
+	failures     int           // in a row
+	faults       DecayingShare // of calls that failed
+	reported     DecayingShare // of requests that the back end failed, as its node reports
+	refusals     DecayingShare // of calls that were refused
+	ejections    int           // in a row
 	ejectedUntil time.Time
 	onTrial      bool
 	load         nodeLoad
-	levels       map[string]levelEntry // by call path
+	levels       map[string]shownLevel // by call path
 }
 
-// levelEntry is the admission level that a node last showed for a call path.
-type levelEntry struct {
+// shownLevel is the admission level that a node last showed for a call path.
+type shownLevel struct {
 	level int
 	at    time.Time
 }
@@ -114,7 +119,7 @@
 	if need.Once {
 		candidates = b.reliable(now, candidates)
 	}
-	chosen := b.cheapest(now, b.staying(now, candidates))
+	chosen := b.cheapest(now, b.zoneCandidates(now, candidates))
 	chosen.inFlight++
 	if chosen.ejections > 0 {
 		chosen.onTrial = true
@@ -144,8 +149,8 @@
 	for _, candidate := range candidates[1:count] {
 		consider(candidate)
 	}
-	if near := b.near(candidates[count:]); near != nil {
-		consider(near)
+	if own := b.anyOfOwnZone(candidates[count:]); own != nil {
+		consider(own)
 	}
 	return best
 }
@@ -156,8 +161,8 @@
 	return target.Zone == b.config.Zone && target.Region == b.config.Region
 }
 
-// near returns a random candidate of the own zone, nil when there is none.
-func (b *Balancer) near(candidates []*state) *state {
+// anyOfOwnZone returns a random candidate of the own zone, nil when there is none.
+func (b *Balancer) anyOfOwnZone(candidates []*state) *state {
 	own := b.ownZone(candidates)
 	if len(own) == 0 {
 		return nil
@@ -166,19 +171,19 @@
 }
 
 // candidates returns the best group of nodes that is not empty: those that
-// would admit the priority, then those that are well, then those that stay, then
+// would admit the priority, then those that are well, then those that do not leave, then
 // all.
 func (b *Balancer) candidates(now time.Time, need Need) []*state {
-	var admitting, well, staying, all []*state
+	var admitting, well, remaining, all []*state
 	for _, candidate := range b.list {
-		if excluded(candidate.target.ID, need.Exclude) {
+		if slices.Contains(need.Exclude, candidate.target.ID) {
 			continue
 		}
 		all = append(all, candidate)
 		if candidate.target.Leaving {
 			continue
 		}
-		staying = append(staying, candidate)
+		remaining = append(remaining, candidate)
 		if candidate.target.Suspect || candidate.ejected(now) {
 			continue
 		}
@@ -187,7 +192,7 @@
 			admitting = append(admitting, candidate)
 		}
 	}
-	for _, group := range [][]*state{admitting, well, staying} {
+	for _, group := range [][]*state{admitting, well, remaining} {
 		if len(group) > 0 {
 			return group
 		}
@@ -195,15 +200,6 @@
 	return all
 }
 
-func excluded(id string, exclude []string) bool {
-	for _, other := range exclude {
-		if other == id {
-			return true
-		}
-	}
-	return false
-}
-
 // ejected reports whether the node takes no calls now. After its time, it takes
 // one trial call at a time.
 func (s *state) ejected(now time.Time) bool {
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -6,12 +6,20 @@
 )
 
 // awayFactor is how much better a node of another zone must be to be chosen over
-// one of the own: bytes between zones cost, and zones lose each other.
+// one of the own: bytes between zones cost, and zones lose each other. 1.2 and 1.5 were
+// compared under overload; no difference showed.
 const awayFactor = 1.2
 
 // minimumLatency keeps the cost of a node that has not answered yet above 0.
 const minimumLatency = 0.0005
 
+// leastWarm is the least share of its calls that a new node is taken to be ready for, so
+// that it gets some from the start.
+const leastWarm = 0.1
+
+// cost returns what a call at a node costs, in seconds: the latency, for each call in
+// flight and this one, raised for another zone or region, for a node that has just
+// started, and for one that refuses or fails a part of its calls.
 func (b *Balancer) cost(now time.Time, s *state) float64 {
 	latency := max(b.believedLatency(now, s), minimumLatency)
 	switch {
@@ -25,8 +33,7 @@
 		cost *= awayFactor
 	}
 	if age := now.Sub(s.target.Since); age < b.config.WarmUp {
-		warm := max(age.Seconds()/b.config.WarmUp.Seconds(), 0.1)
-		cost /= warm
+		cost /= max(age.Seconds()/b.config.WarmUp.Seconds(), leastWarm)
 	}
 	served := 1 - s.refusals.At(now, b.config.RefusalHalfLife)
 	sound := 1 - b.faultsOf(now, s)
--- a/balance/faults.go
+++ b/balance/faults.go
@@ -3,30 +3,30 @@
 import "time"
 
 // SetFaults records the share of requests, 0 to 1, that the back end of a node
-// failed lately, as the node tells. The node sees the requests of all callers, so that
-// its word comes sooner than what one caller learns from its own calls.
+// failed lately, as the node reports. The node sees the requests of all callers, so that
+// it knows sooner than one caller learns from its own calls.
 func (b *Balancer) SetFaults(now time.Time, id string, share float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if s, exists := b.states[id]; exists {
-		s.told = Share{value: min(max(share, 0), 1), since: now}
+		s.reported = DecayingShare{value: min(max(share, 0), 1), since: now}
 	}
 }
 
 // faultsOf returns the share of a node's calls that fail, by what was seen here and
-// what the node told, whichever is higher.
+// what the node reported, whichever is higher.
 func (b *Balancer) faultsOf(now time.Time, s *state) float64 {
-	return max(s.faults.At(now, b.config.FaultHalfLife), s.told.At(now, b.config.FaultHalfLife))
+	return max(s.faults.At(now, b.config.FaultHalfLife), s.reported.At(now, b.config.FaultHalfLife))
 }
 
 const (
 	// reliableMargin is how much more faults than the best node a node may have to
 	// get calls that may not be repeated. Below it, one lost answer among some
-	// thirty is not told from chance.
+	// thirty can't be told from chance.
 	reliableMargin = 0.03
 	// reliableLoad is the load from which on a node has no room for the calls that
 	// others are spared.
-	reliableLoad = leaveAbove
+	reliableLoad = fullLoad
 )
 
 // reliable returns the candidates with the fewest faults that have room, all of them
--- a/balance/level.go
+++ b/balance/level.go
@@ -15,22 +15,26 @@
 		return
 	}
 	if s.levels == nil {
-		s.levels = map[string]levelEntry{}
+		s.levels = map[string]shownLevel{}
 	}
-	s.levels[path] = levelEntry{level: level, at: now}
+	s.levels[path] = shownLevel{level: level, at: now}
 }
 
+// levelBits is the number of bits of the highest level, 1024, and more: after as many half
+// lives a level is forgotten.
+const levelBits = 16
+
 // levelOf returns the level of a node for a call path, forgotten with time.
 func (b *Balancer) levelOf(now time.Time, s *state, path string) int {
-	entry, exists := s.levels[path]
+	shown, exists := s.levels[path]
 	if !exists {
 		return 0
 	}
-	age := now.Sub(entry.at)
+	age := now.Sub(shown.at)
 	if age <= b.config.LevelHalfLife {
-		return entry.level
+		return shown.level
 	}
-	return entry.level >> min(int(age/b.config.LevelHalfLife), 16)
+	return shown.level >> min(int(age/b.config.LevelHalfLife), levelBits)
 }
 
 // Level returns the mean admission level for a call path of the nodes that take
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// responded takes note that the node is there.
+// responded ends a row of failures and an ejection: the node is there.
 func (b *Balancer) responded(s *state) {
 	s.failures = 0
 	if s.ejections > 0 {
@@ -81,8 +81,13 @@
 	}
 }
 
+// mostDoublings bounds the shift by which the time of an ejection doubles, so that it
+// can't overflow.
+const mostDoublings = 10
+
+// eject takes a node out for a while, longer each time in a row.
 func (b *Balancer) eject(now time.Time, s *state) {
-	wait := min(b.config.EjectTime<<min(s.ejections, 10), b.config.MaximumEjectTime)
+	wait := min(b.config.EjectTime<<min(s.ejections, mostDoublings), b.config.MaximumEjectTime)
 	s.ejectedUntil = now.Add(wait)
 	s.ejections++
 	s.failures = 0
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Calls stay in the zone of this process while the zone has room: bytes between
-// zones cost, and zones lose each other. What the nodes of the zone show decides,
-// not how many there are. A zone with one node keeps its calls as long as that node
-// has room and is sound, and a sound node elsewhere is one retry away.
+// Calls stay in the zone of this process while the zone has room: bytes between zones
+// cost, and zones lose each other. What the nodes of the zone show decides, not how many
+// there are: one node keeps the calls of its zone as long as it has room and is sound, and
+// a sound node elsewhere is one retry away.
 
 const (
-	// Calls stay in the zone while the load of its sound nodes is below stayBelow.
-	// From there on, the share that stays falls until it ends at leaveAbove, where
-	// random arrivals begin to queue. Estimates, kept from the days at 194 machines.
-	stayBelow  = 0.6
-	leaveAbove = 0.85
+	// Calls stay in the zone while the mean load of its sound nodes is below localBelow.
+	// From there on, the share that stays falls until it ends at fullLoad, where
+	// random arrivals begin to queue. Estimates.
+	localBelow = 0.6
+	fullLoad   = 0.85
 	// mostFaults and mostRefusals are the shares of failed and refused calls from
 	// which on a node of the zone does not keep calls. One failure among the last
 	// calls (smoothing) is below mostFaults, two are not.
 	mostFaults   = 0.15
 	mostRefusals = 0.15
 	// mostSlower is how many times the latency of a fast node a node of the zone may
-	// have and keep its calls. Back ends of one service differ in speed, by three
-	// times on the users' sites; a back end in trouble is slower than that.
+	// have and keep its calls. Sound back ends of one service have differed in speed by
+	// up to three times; a back end in trouble is slower than that.
 	mostSlower = 4
 	// fastQuantile tells which node is a fast one: a quarter of the nodes are faster.
 	// The fastest of many would be one that was called once, and answered by luck.
 	fastQuantile = 0.25
 	// fastInterval is the time between two looks for a fast node.
 	fastInterval = 100 * time.Millisecond
-	// mostStaying is the largest share of calls that stay: the others compare all
-	// nodes, so that a slow zone is seen to be slow.
-	mostStaying = 0.98
+	// mostLocal is the largest share of calls that stay: the others compare all nodes,
+	// so that a slow zone is seen to be slow.
+	mostLocal = 0.98
 	// loadSmoothing is the weight of one answer in the smoothed load of a node.
 	loadSmoothing = 0.15
 	// mostLoad bounds what one answer counts, so that one long queue is forgotten
@@ -53,7 +53,7 @@
 // nodeLoad is the load that a node has shown lately.
 type nodeLoad struct {
 	known  bool
-	smooth float64 // share of the places that are taken
+	smooth float64 // share of the slots that are taken
 	since  time.Time
 }
 
@@ -62,28 +62,28 @@
 		*l = nodeLoad{known: true, smooth: load, since: now}
 		return
 	}
-	believed := l.at(now, halfLife)
-	l.smooth = believed + loadSmoothing*(load-believed)
+	decayed := l.at(now, halfLife)
+	l.smooth = decayed + loadSmoothing*(load-decayed)
 	l.since = now
 }
 
-// at returns the load as it is believed now. It is forgotten with time, so that a
-// node that was full is tried again.
+// at returns the load at a time. It is forgotten, so that a node that was full is
+// tried again.
 func (l *nodeLoad) at(now time.Time, halfLife time.Duration) float64 {
 	return l.smooth * decay(now.Sub(l.since), halfLife)
 }
 
-// stayShare is the share of calls that stay at nodes of a load, 0 to mostStaying.
-func stayShare(load float64) float64 {
-	return min(max((leaveAbove-load)/(leaveAbove-stayBelow), 0), mostStaying)
+// localShare is the share of calls that stay at nodes of a load, 0 to mostLocal.
+func localShare(load float64) float64 {
+	return min(max((fullLoad-load)/(fullLoad-localBelow), 0), mostLocal)
 }
 
 // randomParts is the resolution of a random share.
 const randomParts = 1000
 
-// staying returns the sound candidates of the own zone when a call is to stay there,
-// all candidates otherwise.
-func (b *Balancer) staying(now time.Time, candidates []*state) []*state {
+// zoneCandidates returns the sound candidates of the own zone when a call is to stay
+// there, all candidates otherwise.
+func (b *Balancer) zoneCandidates(now time.Time, candidates []*state) []*state {
 	own := b.soundOwnZone(now, candidates)
 	if len(own) == 0 {
 		return candidates
@@ -92,7 +92,7 @@
 	for _, candidate := range own {
 		sum += candidate.load.at(now, b.config.LoadHalfLife)
 	}
-	share := stayShare(sum / float64(len(own)))
+	share := localShare(sum / float64(len(own)))
 	if share == 0 || b.config.Random(randomParts) >= int(share*randomParts) {
 		return candidates
 	}
--- a/balance/zone_test.go
+++ b/balance/zone_test.go
@@ -21,13 +21,13 @@
 		load        float64 // shown by the nodes of the zone, 0: nothing is shown
 		least, most float64 // share of the calls that stay
 	}{
-		{"room", 4, 12, 3, 0.3, mostStaying, 1},
+		{"room", 4, 12, 3, 0.3, mostLocal, 1},
 		{"filling", 4, 12, 3, 0.725, 0.4, 0.6},
 		{"full", 4, 12, 3, 1, 0, 0.2},
 		{"queues", 4, 12, 3, 9, 0, 0.2},
 		{"nothing is known", 4, 12, 3, 0, 0, 0.2},
 		{"far slower", 4, 12, 5, 0.3, 0, 0.2},
-		{"one node with room", 1, 2, 3, 0.3, mostStaying, 1},
+		{"one node with room", 1, 2, 3, 0.3, mostLocal, 1},
 		{"one node, filling", 1, 2, 3, 0.725, 0.4, 0.7},
 		{"one node, far slower", 1, 2, 5, 0.3, 0, 0.2},
 	}
--- a/plugin/admission/faults.go
+++ b/plugin/admission/faults.go
@@ -12,7 +12,7 @@
 // faults is the share of requests that the back end failed by itself lately.
 type faults struct {
 	mutex sync.Mutex
-	share balance.Share
+	share balance.DecayingShare
 }
 
 func (f *faults) learn(now time.Time, failed bool) {
