--- a/kernel/transmit.go
+++ b/kernel/transmit.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
-	"github.com/loomcleat/loomcleat/internal/exchange"
 	"github.com/loomcleat/loomcleat/result"
+	"github.com/loomcleat/loomcleat/transport/exchange"
 )
 
 // Transmitter sends calls over HTTP/1.1 and knows, when that fails, whether any
