--- a/kernel/control.go
+++ b/kernel/control.go
@@ -9,8 +9,8 @@
 
 	kratoshttp "github.com/go-kratos/kratos/v2/transport/http"
 
-	"github.com/loomcleat/loomcleat/internal/socket"
 	"github.com/loomcleat/loomcleat/result"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // ControlClient sends control messages to other processes, over kratos HTTP
--- a/kernel/listeners.go
+++ b/kernel/listeners.go
@@ -3,8 +3,8 @@
 import (
 	"net"
 
-	"github.com/loomcleat/loomcleat/internal/socket"
 	"github.com/loomcleat/loomcleat/result"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // listeners are the bound addresses of a process.
--- a/kernel/peer.go
+++ b/kernel/peer.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"github.com/loomcleat/loomcleat/internal/socket"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // connectionKey is the key of the connection in the context of a request.
--- a/plugin/quarantine/watch.go
+++ b/plugin/quarantine/watch.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/loomcleat/loomcleat/clock"
-	"github.com/loomcleat/loomcleat/internal/socket"
 	"github.com/loomcleat/loomcleat/kernel"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // Bounds of the look at a back end that has lost a request.
--- a/transport/exchange/client.go
+++ b/transport/exchange/client.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"github.com/loomcleat/loomcleat/internal/socket"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // Config configures a Client.
--- a/transport/exchange/pool.go
+++ b/transport/exchange/pool.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/loomcleat/loomcleat/clock"
-	"github.com/loomcleat/loomcleat/internal/socket"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // pool keeps idle connections.
