--- a/kernel/call.go
+++ b/kernel/call.go
@@ -1,19 +1,14 @@
 package kernel
 
 import (
-	"bytes"
 	"context"
-	"io"
 	"net/http"
 	"net/url"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/loomcleat/loomcleat/claims"
 	"github.com/loomcleat/loomcleat/clock"
 	"github.com/loomcleat/loomcleat/policy"
-	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/retrybudget"
 )
 
@@ -125,65 +120,3 @@
 func (a *Answer) Failed() bool {
 	return a != nil && a.StatusCode >= http.StatusInternalServerError
 }
-
-// Body is a request body. Small bodies of known length are read into memory
-// first, so that they can be sent again; others are streamed.
-type Body struct {
-	data     []byte
-	buffered bool
-	stream   io.ReadCloser
-	length   int64 // -1 when unknown
-	opened   bool
-}
-
-// replayableLimit is the size up to which bodies are kept, in bytes.
-const replayableLimit = 64 << 10
-
-// isStreamed reports whether the body of a request is passed on while it
-// arrives.
-func isStreamed(r *http.Request) bool {
-	return r.ContentLength < 0 || r.ContentLength > replayableLimit
-}
-
-// NewBufferedBody returns a body that is in memory.
-func NewBufferedBody(data []byte) *Body {
-	return &Body{data: data, buffered: true, length: int64(len(data))}
-}
-
-// newBody takes the body of a request that the HTTP server received.
-func newBody(r *http.Request) (*Body, error) {
-	if r.ContentLength == 0 {
-		return &Body{buffered: true}, nil
-	}
-	if isStreamed(r) {
-		return &Body{stream: r.Body, length: r.ContentLength}, nil
-	}
-	data := make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(r.Body, data); err != nil {
-		return nil, result.Wrap(result.CallerGone, err, "reading the request body")
-	}
-	return &Body{data: data, buffered: true, length: int64(len(data))}, nil
-}
-
-// Replayable reports whether the body can be sent (again).
-func (b *Body) Replayable() bool { return b.buffered || !b.opened }
-
-// Buffered returns the bytes of a body that is in memory.
-func (b *Body) Buffered() ([]byte, bool) { return b.data, b.buffered }
-
-// fingerprint tells bodies in memory apart. It is 0 for streamed bodies.
-func (b *Body) fingerprint() uint64 {
-	if !b.buffered {
-		return 0
-	}
-	return xxhash.Sum64(b.data)
-}
-
-// Open returns a reader of the whole body and its length, -1 when unknown.
-func (b *Body) Open() (io.ReadCloser, int64) {
-	b.opened = true
-	if b.buffered {
-		return io.NopCloser(bytes.NewReader(b.data)), b.length
-	}
-	return b.stream, b.length
-}
