--- a/kernel/call.go
+++ b/kernel/call.go
@@ -51,8 +51,8 @@
 	Deadline clock.Instant
 	// Budget holds the retries that may be spent for the user request here.
 	Budget *retrybudget.Account
-	// ClaimKey is the key under which the call may run at most once. Zero for
-	// calls that may be repeated.
+	// ClaimKey is the key under which the call may run at most once. Only the plug-ins
+	// identity and once set and read it; it stays zero with the setting claims: false.
 	ClaimKey claims.Key
 	// Instance names the incarnation of the back end that the call was handed to, "" before
 	// that and where the back end sends no heartbeats.
--- a/kernel/execution.go
+++ b/kernel/execution.go
@@ -14,9 +14,11 @@
 // Execution is a request that the back end of this node is working on. The
 // calls that the back end makes for it are tied to it by its token.
 type Execution struct {
-	Token    string
-	Request  string
-	Identity string // names this execution for keys of calls that it makes
+	Token   string
+	Request string
+	// Identity names this execution in the keys of the calls that it makes. It is the key
+	// under which it runs, "" with the setting claims: false.
+	Identity string
 	Priority int
 	Deadline clock.Instant
 	Budget   *retrybudget.Account
--- a/kernel/inbound.go
+++ b/kernel/inbound.go
@@ -55,13 +55,10 @@
 	}
 	call.Inbound = true
 	call.Tenant = p.Dialect.ReadTenant(call.Header)
-	if err := p.readContext(call, &told); err != nil {
-		return nil, err
-	}
+	p.readContext(call, &told)
 	wire.RemoveInternal(call.Header)
 	call.Execution = &Execution{
 		Request:  call.Request,
-		Identity: call.ClaimKey.String(),
 		Priority: call.Priority,
 		Deadline: call.Deadline,
 		Budget:   call.Budget,
@@ -70,17 +67,22 @@
 		RequestID: call.RequestID,
 		Repeat:    call.Repeat,
 	}
+	for _, read := range p.onReadContext {
+		if err := read(call, &told); err != nil {
+			return nil, err
+		}
+	}
 	return call, nil
 }
 
 // readContext takes what another process told with a call. A call without a context
 // comes from outside the mesh and gets no retries and the lowest priority.
-func (p *Process) readContext(call *Call, told *wire.CallContext) error {
+func (p *Process) readContext(call *Call, told *wire.CallContext) {
 	call.Request, call.Attempt = told.Request, told.Attempt
 	if call.Request == "" {
 		p.grant(call, policy.Bulk, 0)
 		call.Priority = 0
-		return nil
+		return
 	}
 	call.Deadline = clock.Now().Add(told.Remaining)
 	call.Priority = min(max(told.Priority, 0), admission.MaximumPriority)
@@ -88,8 +90,4 @@
 	call.Hops = told.Hops
 	call.Repeat = told.Repeat
 	call.Policy.TargetLatency = told.Target
-	if told.ClaimKey == "" {
-		return nil // it may be repeated
-	}
-	return call.ClaimKey.UnmarshalText([]byte(told.ClaimKey))
 }
--- a/kernel/process.go
+++ b/kernel/process.go
@@ -54,30 +54,32 @@
 	// heartbeats.
 	BackEnd BackEnd
 
-	inFlight   atomic.Int64
-	ready      atomic.Bool
-	leaving    atomic.Bool
-	announced  atomic.Bool
-	draining   atomic.Bool
-	executions *Executions
-	splits     splitCounters
-	identities identities
-	endpoints  []Endpoint
-	listeners  listeners
-	servers    servers
-	middleware [2]map[string]Middleware // inbound, outbound
-	inbound    Handler
-	outbound   Handler
-	readiness  []func() bool
-	onStart    []func(context.Context)
-	onDrain    []func(context.Context)
-	onMembers  []func(time.Time, []membership.Member)
-	onStatus   []func(*wire.Status)
-	occupancy  func(time.Time) Occupancy
-	context    context.Context
-	cancel     context.CancelFunc
-	stopOnce   sync.Once
-	stopped    chan struct{}
+	inFlight       atomic.Int64
+	ready          atomic.Bool
+	leaving        atomic.Bool
+	announced      atomic.Bool
+	draining       atomic.Bool
+	executions     *Executions
+	splits         splitCounters
+	identities     identities
+	endpoints      []Endpoint
+	listeners      listeners
+	servers        servers
+	middleware     [2]map[string]Middleware // inbound, outbound
+	inbound        Handler
+	outbound       Handler
+	readiness      []func() bool
+	onStart        []func(context.Context)
+	onDrain        []func(context.Context)
+	onMembers      []func(time.Time, []membership.Member)
+	onReadContext  []func(*Call, *wire.CallContext) error
+	onWriteContext []func(*Call, *wire.CallContext)
+	onStatus       []func(*wire.Status)
+	occupancy      func(time.Time) Occupancy
+	context        context.Context
+	cancel         context.CancelFunc
+	stopOnce       sync.Once
+	stopped        chan struct{}
 }
 
 // ToldLoad is the load that a back end told, and when.
@@ -191,6 +193,25 @@
 // OnStatus adds a function that fills in a part of the status of the process.
 func (p *Process) OnStatus(fill func(*wire.Status)) { p.onStatus = append(p.onStatus, fill) }
 
+// OnReadContext adds a function that takes its part of what another process has told
+// with an inbound call, whose Execution is set. An error refuses the call.
+func (p *Process) OnReadContext(read func(call *Call, told *wire.CallContext) error) {
+	p.onReadContext = append(p.onReadContext, read)
+}
+
+// OnWriteContext adds a function that adds its part to what a node is told with each
+// attempt of a call.
+func (p *Process) OnWriteContext(write func(call *Call, told *wire.CallContext)) {
+	p.onWriteContext = append(p.onWriteContext, write)
+}
+
+// WriteContext adds what plug-ins tell a node with an attempt of a call.
+func (p *Process) WriteContext(call *Call, told *wire.CallContext) {
+	for _, write := range p.onWriteContext {
+		write(call, told)
+	}
+}
+
 // Occupancy is how busy the back end beside this process is.
 type Occupancy struct {
 	// Level is the lowest priority that is admitted now.
--- a/plugin/once/setup.go
+++ b/plugin/once/setup.go
@@ -48,6 +48,8 @@
 		process.OnStart(o.planGroups)
 		process.OnDrain(o.leaveGroups)
 	}
+	process.OnReadContext(readKey)
+	process.OnWriteContext(writeKey)
 	if process.IsNode() {
 		process.UseInbound(name, o.middleware)
 	}
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/loomcleat/loomcleat/balance"
-	"github.com/loomcleat/loomcleat/claims"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/wire"
@@ -121,9 +120,7 @@
 		Target:    call.Policy.TargetLatency,
 		Repeat:    call.Repeat,
 	}
-	if call.ClaimKey != (claims.Key{}) {
-		told.ClaimKey = call.ClaimKey.String()
-	}
+	r.process.WriteContext(call, &told)
 	header := call.Header.Clone()
 	delete(header, r.process.Dialect.Remaining) // the node sets it anew for its back end
 	told.Write(header)
