--- a/plugin/admission/setup.go
+++ b/plugin/admission/setup.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"io"
-	"math"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -103,7 +102,7 @@
 		p.setBounds(call)
 		asked := time.Now()
 		ticket, err := p.wait(call)
-		call.Execution.NotePressure(pressure(call, time.Since(asked), err))
+		call.Execution.NotePressure(admission.WaitPressure(time.Since(asked), call.Policy.QueueTime, err != nil))
 		if err != nil {
 			return nil, err
 		}
@@ -111,18 +110,6 @@
 	})
 }
 
-// refusedPressure is the pressure of a refusal, at least.
-const refusedPressure = 4
-
-// pressure is the time that a call waited as a multiple of what it should wait.
-func pressure(call *kernel.Call, waited time.Duration, err error) float64 {
-	met := waited.Seconds() / call.Policy.QueueTime.Seconds()
-	if err != nil {
-		met = max(met, refusedPressure)
-	}
-	return met
-}
-
 // setBounds passes changed settings of the service to the controller.
 func (p *plugin) setBounds(call *kernel.Call) {
 	wanted := bounds{call.Policy.ConcurrencyMin, call.Policy.ConcurrencyMax, call.Policy.QueueTime}
@@ -138,25 +125,15 @@
 	p.controller.SetBounds(wanted.minimum, wanted.maximum, wanted.queueTime)
 }
 
-// slots is the number of requests that the back end says it works on at a time,
-// 0 when it does not say. It needs no search for the limit then.
+// slots is the number of the back end's slots that are used, 0 when it does not tell its
+// slots. It needs no search for the limit then.
 func (p *plugin) slots() int {
 	if p.process.BackEnd == nil {
 		return 0
 	}
-	slots := p.process.BackEnd.State().Slots
-	return min(slots, int(math.Ceil(float64(slots)*usableShare)))
+	return admission.UsableSlots(p.process.BackEnd.State().Slots)
 }
 
-// patienceShare is the part of the target latency that a request may wait for a
-// place: a refusal that comes sooner leaves time to come again.
-const patienceShare = 5
-
-// usableShare is the share of the back end's slots that are used. Some back ends
-// become slower when the last ones are taken, and a request that was given up
-// may hold one for a while.
-const usableShare = 0.94
-
 // wait waits for a place.
 func (p *plugin) wait(call *kernel.Call) (*admission.Ticket, error) {
 	verdicts := make(chan admission.Verdict, 1)
@@ -164,7 +141,7 @@
 		Priority:  call.Priority,
 		Deadline:  time.Now().Add(call.Deadline.Left()), // by the clock that measures work
 		Committed: call.Committed(),
-		Patience:  call.Policy.TargetLatency / patienceShare,
+		Patience:  admission.PatienceOf(call.Policy.TargetLatency),
 	}
 	ticket := p.controller.Ask(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
 	select {
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/balance"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
@@ -37,7 +38,7 @@
 			call.Budget.Repay(loan, loan) // the loan never left this process
 		}
 		if result.From(err).Code == result.DeadlineExceeded {
-			call.NotePressure(timeoutPressure)
+			call.NotePressure(admission.TimeoutPressure)
 		}
 		finish(outcomeOf(call, err))
 		return nil, err
@@ -87,16 +88,15 @@
 		return balance.Unknown
 	}
 	typed := result.From(err)
-	switch typed.Code {
-	case result.CallerGone, result.CallerCancelled, result.DeadlineTooShort, result.RequestQuarantined:
+	evidence := typed.Code.Conclusion().Node
+	switch {
+	case evidence == result.NoEvidence:
 		return balance.Unknown
-	case result.NodeRefused:
-		return balance.Failed
-	}
-	if typed.NotRun() {
+	case evidence == result.ByRun && typed.NotRun():
 		return balance.Refused
+	default:
+		return balance.Failed
 	}
-	return balance.Failed
 }
 
 // outcomeOfAnswer is the outcome of a whole answer of a back end.
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -84,37 +84,15 @@
 	defer s.mutex.Unlock()
 	found := s.route(call, now)
 	found.longest = max(found.longest, call.Patience)
-	admitted = found.gate.Admit(now, rank(found.longest-call.Patience))
+	admitted = found.gate.Admit(now, admission.Rank(found.longest-call.Patience, rand.Float64()))
 	call.RoomAfter = found.gate.Reopens()
 	return found.gate.Share(), admitted
 }
 
-// wastedPressure is the pressure of a request that was admitted here and failed
-// under pressure further down, after other services may have worked for it. The mean
-// pressure that a gate lets stand is 1, so that one request in wastedPressure may
-// fail. With the pressure of a refused offer, one in four, a mesh stayed in a state
-// in which it worked a quarter of its time in vain.
-const wastedPressure = 10
-
-// objectiveShare is the part of a route's target latency that its requests may take on
-// average while they wait for places. More would leave too little for those that take
-// longer than others; less would leave places idle, and refuse requests that could have
-// been served in time.
-const objectiveShare = 0.7
-
-// pressureOf returns the pressure that a request met, which took a time. What was served
-// after waiting is measured by the objective of its route: a wait that the objective
-// bears is none. A failure without pressure, such as a lost answer, is none of overload.
+// pressureOf returns the pressure that a call counts at the gate of its route.
 func pressureOf(call *kernel.Call, answer *kernel.Answer, err error, taken time.Duration) float64 {
-	waited := call.Pressure > 1
-	switch {
-	case waited && (err != nil || answer.Failed()):
-		return max(call.Pressure, wastedPressure)
-	case waited && call.Policy.TargetLatency > 0:
-		return taken.Seconds() / (objectiveShare * call.Policy.TargetLatency.Seconds())
-	default:
-		return call.Pressure
-	}
+	failed := err != nil || answer.Failed()
+	return admission.RoutePressure(call.Pressure, failed, taken, call.Policy.TargetLatency)
 }
 
 func (s *shed) done(call *kernel.Call, pressure float64) {
@@ -139,30 +117,3 @@
 	}
 	return found
 }
-
-// Ranks of requests that come again after a refusal, which is seen by the time that they
-// have spent. One that came back after a while goes before most first tries: a gate that
-// opens slowly after overload does not refuse it twice. It does not go before all of them:
-// under lasting overload, a route would serve returned requests only then. One that did
-// not wait goes last.
-const (
-	returnedRanks = 0.5
-	hastyRanks    = 0.6
-	hastyFrom     = 20 * time.Millisecond // less than this is a first try
-	// waitedFrom is the least that any caller is told, less what clocks may differ by.
-	waitedFrom = 90 * time.Millisecond
-)
-
-// rank places a request among those of its route, from 0, the first, up to 1. spent is
-// the time since its first try.
-func rank(spent time.Duration) float64 {
-	even := rand.Float64()
-	switch {
-	case spent < hastyFrom:
-		return even
-	case spent < waitedFrom:
-		return hastyRanks + even*(1-hastyRanks)
-	default:
-		return even * returnedRanks
-	}
-}
