--- a/clock/clock.go
+++ b/clock/clock.go
@@ -5,35 +5,26 @@
 // is measured in Instants of this package. What measures the work of a process, such as
 // latencies and pressure, stays with time.Now: a suspension must not read as a slow back
 // end. The time of day decides nothing; it may step.
+//
+// The package relies on CLOCK_BOOTTIME of the kernel; Check says whether it is there.
+// Tests replace the clock with package clocktest.
 package clock
 
 import (
-	"sync/atomic"
 	"time"
+
+	"github.com/loomcleat/loomcleat/clock/internal/override"
 )
 
 // Instant is a reading of the clock: nanoseconds since the machine has started, with the
 // time in which it was suspended.
 type Instant int64
 
-// Source gives readings.
-type Source func() Instant
-
-// replaced is the source that a test has put in the place of the machine's, nil for none.
-var replaced atomic.Pointer[Source]
-
-// Replace puts another source in the place of the machine's until restore is called. It
-// is for tests.
-func Replace(source Source) (restore func()) {
-	before := replaced.Swap(&source)
-	return func() { replaced.Store(before) }
-}
-
 // Now returns the present reading. It takes some 70 ns and allocates nothing, where the
 // C library's fast path is linked; a system call would take twice as long.
 func Now() Instant {
-	if source := replaced.Load(); source != nil {
-		return (*source)()
+	if source := override.Active.Load(); source != nil {
+		return Instant((*source)())
 	}
 	return Instant(bootNanoseconds())
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -1,31 +1,34 @@
-package clock
+package clock_test
 
 import (
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
+
+	"github.com/loomcleat/loomcleat/clock"
+	"github.com/loomcleat/loomcleat/clock/clocktest"
 )
 
 func TestTheMachineHasTheClock(t *testing.T) {
 	is := is.New(t)
-	is.NoErr(Check())
-	before := Now()
+	is.NoErr(clock.Check())
+	before := clock.Now()
 	time.Sleep(2 * time.Millisecond)
-	passed := Now().Sub(before)
+	passed := clock.Now().Sub(before)
 	is.True(passed >= 2*time.Millisecond)
-	is.True(Now().Add(time.Hour).Left() > 59*time.Minute)
+	is.True(clock.Now().Add(time.Hour).Left() > 59*time.Minute)
 }
 
 func TestASuspensionCounts(t *testing.T) {
 	is := is.New(t)
-	now := Instant(1000)
-	defer Replace(func() Instant { return now })()
-	deadline := Now().Add(2 * time.Second)
+	now := clock.Instant(1000)
+	defer clocktest.Replace(func() clock.Instant { return now })()
+	deadline := clock.Now().Add(2 * time.Second)
 	is.Equal(deadline.Left(), 2*time.Second)
 	now = now.Add(30 * time.Second) // suspended
 	is.Equal(deadline.Left(), -28*time.Second)
-	is.Equal(Now().Time().Sub(deadline.Time()), 28*time.Second)
+	is.Equal(clock.Now().Time().Sub(deadline.Time()), 28*time.Second)
 }
 
 // Of three ways on one machine, busy with other work: time.Now alone 73 to 79 ns; this
@@ -35,6 +38,6 @@
 func BenchmarkNow(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
-		Now()
+		clock.Now()
 	}
 }
--- a/internal/exchange/client_test.go
+++ b/internal/exchange/client_test.go
@@ -17,6 +17,7 @@
 	"github.com/matryer/is"
 
 	"github.com/loomcleat/loomcleat/clock"
+	"github.com/loomcleat/loomcleat/clock/clocktest"
 )
 
 // patience bounds each test.
@@ -400,6 +401,6 @@
 	defer far.Close()
 	p.put(&conn{Conn: near, address: "a"}, 0)
 	now := clock.Now().Add(2 * time.Minute)
-	defer clock.Replace(func() clock.Instant { return now })()
+	defer clocktest.Replace(func() clock.Instant { return now })()
 	is.True(p.take("a") == nil)
 }
--- a/kernel/suspension_test.go
+++ b/kernel/suspension_test.go
@@ -7,6 +7,7 @@
 	"github.com/matryer/is"
 
 	"github.com/loomcleat/loomcleat/clock"
+	"github.com/loomcleat/loomcleat/clock/clocktest"
 )
 
 func TestTheMeterSeesSuspensionsAlone(t *testing.T) {
@@ -14,7 +15,7 @@
 	slept := time.Duration(0)
 	origin := clock.Now()
 	started := time.Now()
-	defer clock.Replace(func() clock.Instant { return origin.Add(time.Since(started) + slept) })()
+	defer clocktest.Replace(func() clock.Instant { return origin.Add(time.Since(started) + slept) })()
 	meter := newSuspensionMeter()
 	time.Sleep(5 * time.Millisecond)
 	is.True(meter.read().Abs() < leastSuspension) // time that passed is none
--- a/plugin/forward/suspension_test.go
+++ b/plugin/forward/suspension_test.go
@@ -12,6 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/loomcleat/loomcleat/clock"
+	"github.com/loomcleat/loomcleat/clock/clocktest"
 	"github.com/loomcleat/loomcleat/event"
 	"github.com/loomcleat/loomcleat/instance"
 	"github.com/loomcleat/loomcleat/kernel"
@@ -64,7 +65,7 @@
 			defer backend.Close()
 			suspended := time.Duration(0)
 			origin, started := clock.Now(), time.Now()
-			defer clock.Replace(func() clock.Instant { return origin.Add(time.Since(started) + suspended) })()
+			defer clocktest.Replace(func() clock.Instant { return origin.Add(time.Since(started) + suspended) })()
 
 			state := instance.State{ID: "i"}
 			if c.closes > 0 {
