--- a/plugin/configsync/watch.go
+++ b/plugin/configsync/watch.go
@@ -14,17 +14,25 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Watching of the store.
+// Times of watching the store.
 const (
-	watchWait  = 700 * time.Millisecond // a wait may never be answered, so that it must be short
-	answerTime = 500 * time.Millisecond // on top of it
-	idleWait   = 200 * time.Millisecond // of processes that do not watch
-	gatherTime = 100 * time.Millisecond // after a change, to read several in quick succession at once
-	// maximumWatchLag is how long the store may hold changes back from waits, as the
-	// users' platform does before it forgets its history.
+	// watchWait is how long the store is asked to wait for a change. A wait may never be
+	// answered, so that a longer one delays the next change.
+	watchWait = 700 * time.Millisecond
+	// answerTime is how long the answer may take beyond watchWait.
+	answerTime = 500 * time.Millisecond
+	// idleWait is the time between two checks whether it is this process's turn.
+	idleWait = 200 * time.Millisecond
+	// gatherTime is waited for after a change, so that several in quick succession are read
+	// at once.
+	gatherTime = 100 * time.Millisecond
+	// maximumWatchLag is how long the store may hold a change back from those that wait for
+	// it. What a wait proves counts from that much earlier.
 	maximumWatchLag = time.Second
-	firstBackoff    = 100 * time.Millisecond
-	maximumBackoff  = time.Second
+	// firstBackoff and maximumBackoff bound the time between two attempts while the store
+	// fails; it doubles with each failure.
+	firstBackoff   = 100 * time.Millisecond
+	maximumBackoff = time.Second
 )
 
 // watcher follows one document in the store.
