--- a/kernel/traffic.go
+++ b/kernel/traffic.go
@@ -10,10 +10,6 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// notReadyRetryAfter is the time after which a caller of a process that is not
-// ready may ask again.
-const notReadyRetryAfter = time.Second
-
 // serve turns a request into a Call, lets the chain answer it and writes the
 // answer.
 func (p *Process) serve(w http.ResponseWriter, r *http.Request, direction string, chain Handler, build func(*http.Request) (*Call, error)) {
@@ -86,7 +82,7 @@
 	if p.Ready() {
 		return nil
 	}
-	return result.New(result.NotReady, "the process has not learned the policy yet").WithRetryAfter(notReadyRetryAfter)
+	return result.New(result.NotReady, "the process has not learned the policy yet").WithUsualRetryAfter()
 }
 
 // newCall fills in what all calls have.
--- a/kernel/transmit.go
+++ b/kernel/transmit.go
@@ -102,7 +102,7 @@
 	case !wrote && cancelled:
 		return result.Wrap(result.CallerGone, err, "the caller went away before the request was sent")
 	case !wrote:
-		return result.Wrap(t.refused, err, "the request was not sent").WithRetryAfter(time.Second)
+		return result.Wrap(t.refused, err, "the request was not sent").WithUsualRetryAfter()
 	case timedOut:
 		return result.Wrap(result.DeadlineExceeded, err, "no answer within the time left")
 	case cancelled:
--- a/plugin/admission/setup.go
+++ b/plugin/admission/setup.go
@@ -184,10 +184,6 @@
 	return result.New(result.CallerGone, "the caller went away while waiting for a place")
 }
 
-// retryAfter is the time after which a refused request may come again: about
-// the time in which the level follows a change of demand.
-const retryAfter = time.Second
-
 func refusal(verdict admission.Verdict) error {
 	switch verdict {
 	case admission.Admitted:
@@ -195,9 +191,9 @@
 	case admission.TooLate:
 		return result.New(result.DeadlineTooShort, "the back end would not answer within the time left")
 	case admission.BelowLevel:
-		return result.New(result.Overloaded, "the priority is below the admission level").WithRetryAfter(retryAfter)
+		return result.New(result.Overloaded, "the priority is below the admission level").WithUsualRetryAfter()
 	default:
-		return result.New(result.Overloaded, "no place became free in time").WithRetryAfter(retryAfter)
+		return result.New(result.Overloaded, "no place became free in time").WithUsualRetryAfter()
 	}
 }
 
--- a/plugin/drain/setup.go
+++ b/plugin/drain/setup.go
@@ -2,17 +2,12 @@
 package drain
 
 import (
-	"time"
-
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
 )
 
 const name = "drain"
 
-// retryAfter is the time after which a caller may ask again, at another process.
-const retryAfter = time.Second
-
 func init() { kernel.Register(name, kernel.StageTraffic, setup) }
 
 func setup(process *kernel.Process) error {
@@ -21,7 +16,7 @@
 			// Calls of the own back end go on: they belong to requests in flight.
 			isNew := call.Inbound || call.External
 			if isNew && process.Draining() {
-				return nil, result.New(result.Draining, "%s is stopping", process.ID).WithRetryAfter(retryAfter)
+				return nil, result.New(result.Draining, "%s is stopping", process.ID).WithUsualRetryAfter()
 			}
 			return next.Handle(call)
 		})
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -99,7 +99,7 @@
 	if response.StatusCode == http.StatusMisdirectedRequest && f.process.BackEnd != nil {
 		f.process.BackEnd.Found(expected, response.Header.Get(dialect.Instance))
 	}
-	return result.New(result.BackendRefused, "the back end refused with status %d", response.StatusCode).WithRetryAfter(refusedRetryAfter)
+	return result.New(result.BackendRefused, "the back end refused with status %d", response.StatusCode).WithUsualRetryAfter()
 }
 
 // checkContext returns an error for an answer that carries the context of another
@@ -112,7 +112,3 @@
 	f.process.Log.Emit(event.AnswerMismatch, "backend", f.process.Settings.Backend)
 	return result.New(result.AnswerMismatch, "the back end answered another request")
 }
-
-// refusedRetryAfter is the time after which a caller may ask again that a back
-// end refused.
-const refusedRetryAfter = time.Second
--- a/plugin/instance/setup.go
+++ b/plugin/instance/setup.go
@@ -119,15 +119,11 @@
 	p.process.Mesh.SetState(state.Leaving, state.ID == "" || p.unreachable.Load())
 }
 
-// retryAfter is the time after which a refused caller may ask again: about one
-// heartbeat.
-const retryAfter = time.Second
-
 func (p *plugin) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		state := p.State()
 		if !state.Open(clock.Now().Time()) {
-			return nil, result.New(result.BackendLeft, "the back end %q of this node takes no more requests", state.ID).WithRetryAfter(retryAfter)
+			return nil, result.New(result.BackendLeft, "the back end %q of this node takes no more requests", state.ID).WithUsualRetryAfter()
 		}
 		return next.Handle(call)
 	})
--- a/plugin/once/once.go
+++ b/plugin/once/once.go
@@ -31,12 +31,11 @@
 
 // Times of claiming.
 const (
-	claimTimeout      = 400 * time.Millisecond  // for the reply of one replica
-	claimPatience     = 1500 * time.Millisecond // for a claim in all, while the group changes
-	claimRounds       = 2                       // without a majority, while it does not change
-	claimBackoff      = 20 * time.Millisecond
-	refusalRetryAfter = time.Second
-	outcomeTimeout    = time.Second // for one question to a runner
+	claimTimeout   = 400 * time.Millisecond  // for the reply of one replica
+	claimPatience  = 1500 * time.Millisecond // for a claim in all, while the group changes
+	claimRounds    = 2                       // without a majority, while it does not change
+	claimBackoff   = 20 * time.Millisecond
+	outcomeTimeout = time.Second // for one question to a runner
 )
 
 // middleware claims calls that may not be repeated.
@@ -100,7 +99,7 @@
 	}
 	if clock.Now().Sub(won.asked) > o.process.Settings.ClaimRetention.Std()/2 {
 		o.abandon(won.group, current)
-		return nil, result.New(result.ClaimUnavailable, "the claim became too old before the request could run").WithRetryAfter(refusalRetryAfter)
+		return nil, result.New(result.ClaimUnavailable, "the claim became too old before the request could run").WithUsualRetryAfter()
 	}
 	return o.runClaimed(next, call, current, won.group)
 }
@@ -173,7 +172,7 @@
 }
 
 func unavailable() error {
-	return result.New(result.ClaimUnavailable, "no majority of the claim replicas could be had").WithRetryAfter(refusalRetryAfter)
+	return result.New(result.ClaimUnavailable, "no majority of the claim replicas could be had").WithUsualRetryAfter()
 }
 
 func keyReused() error {
--- a/plugin/quota/setup.go
+++ b/plugin/quota/setup.go
@@ -106,7 +106,7 @@
 		}
 		if !decision.Admitted {
 			return nil, result.New(result.QuotaExceeded, "tenant %s is beyond its quota, by %s", call.Tenant, decision.Basis).
-				WithRetryAfter(max(decision.RetryAfter, leastRetryAfter))
+				WithRetryAfter(decision.RetryAfter)
 		}
 		answer, err := next.Handle(call)
 		if err != nil && result.From(err).NotRun() {
@@ -116,9 +116,6 @@
 	})
 }
 
-// leastRetryAfter is the least that a refused caller is told.
-const leastRetryAfter = 100 * time.Millisecond
-
 func (k *keeper) admit(tenant string) quota.Decision {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/plugin/routing/route.go
+++ b/plugin/routing/route.go
@@ -8,12 +8,6 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Times after which a refused caller may ask again.
-const (
-	shedRetryAfter   = time.Second
-	noNodeRetryAfter = time.Second
-)
-
 // handle makes one attempt.
 func (r *router) handle(call *kernel.Call) (*kernel.Answer, error) {
 	balancer := r.balancer(call.Service)
@@ -27,7 +21,7 @@
 		noteLevel(call, level)
 	}
 	if call.Priority < level && !call.Committed() && !call.Routed {
-		return nil, result.New(result.ShedEarly, "a service on the call path admits only higher priorities now").WithRetryAfter(shedRetryAfter)
+		return nil, result.New(result.ShedEarly, "a service on the call path admits only higher priorities now").WithUsualRetryAfter()
 	}
 	need := balance.Need{Path: path, Priority: call.Priority, Exclude: call.Tried, Once: !call.Policy.Repeatable}
 	target, found := balancer.Pick(now, need)
@@ -45,7 +39,7 @@
 	if !call.Policy.Known && r.balancer(call.Service) == nil {
 		return result.New(result.UnknownService, "there is no service %q", call.Service)
 	}
-	return result.New(result.NoNode, "no node of service %q is available", call.Service).WithRetryAfter(noNodeRetryAfter)
+	return result.New(result.NoNode, "no node of service %q is available", call.Service).WithUsualRetryAfter()
 }
 
 func noteLevel(call *kernel.Call, level int) {
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -67,8 +67,7 @@
 			return next.Handle(call)
 		}
 		if share, admitted := s.admit(call); !admitted {
-			return nil, result.New(result.ShedEarly, "route %s admits a share of %.2f now", call.Policy.Path, share).
-				WithRetryAfter(s.process.OverloadRetryAfter(call))
+			return nil, result.New(result.ShedEarly, "route %s admits a share of %.2f now", call.Policy.Path, share).WithUsualRetryAfter()
 		}
 		started := time.Now()
 		answer, err := next.Handle(call)
--- a/plugin/tenant/setup.go
+++ b/plugin/tenant/setup.go
@@ -113,12 +113,8 @@
 	return proof{age: age, known: known, holds: known && age <= a.bound}
 }
 
-// unprovenRetryAfter is the time between two tries of a process to prove its policy by
-// the store.
-const unprovenRetryAfter = time.Second
-
 // missing is the refusal of a request with a key while no proof holds.
 func (p proof) missing(index *policy.Index) error {
 	return result.New(result.KeysUnproven, "it is not known whether revision %d is still in force: last proven %s ago (ever: %t)",
-		index.Revision(), p.age.Round(time.Millisecond), p.known).WithRetryAfter(unprovenRetryAfter)
+		index.Revision(), p.age.Round(time.Millisecond), p.known).WithUsualRetryAfter()
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -66,7 +66,8 @@
 // Decision says what becomes of a request.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is the time after which a refused caller may find room.
+	// RetryAfter is the time after which a refused caller may find room, 0 when that is
+	// not known.
 	RetryAfter time.Duration
 	// Report asks for a report at once: much is unreported.
 	Report bool
@@ -125,7 +126,7 @@
 	}
 	a.due += a.admit
 	if a.due < 1 {
-		return Decision{Basis: ShareOfAll, RetryAfter: narrowedRetryAfter}
+		return Decision{Basis: ShareOfAll}
 	}
 	a.due--
 	return Decision{Admitted: true, Basis: ShareOfAll}
@@ -147,10 +148,6 @@
 // their equal shares.
 const aloneTolerance = 0.3
 
-// narrowedRetryAfter is told to callers of a tenant that is beyond its quota: it has room
-// when it sends less, of which the coordinator hears within an interval of the report.
-const narrowedRetryAfter = time.Second
-
 // Bounds of what is admitted without an answer.
 const (
 	// leastUnreported is the least number of requests of a tenant at which a process
--- a/result/error.go
+++ b/result/error.go
@@ -37,12 +37,16 @@
 	return wrapped
 }
 
-// WithRetryAfter sets the time after which the caller may ask again.
-func (e *Error) WithRetryAfter(wait time.Duration) *Error {
-	e.RetryAfter = wait
+// WithRetryAfter tells the caller when to ask again, from the wait that was computed for
+// it; 0 when nothing is known of the moment. RetryAfter decides what it is told.
+func (e *Error) WithRetryAfter(computed time.Duration) *Error {
+	e.RetryAfter = RetryAfter(e.Code, computed)
 	return e
 }
 
+// WithUsualRetryAfter tells the caller the usual wait of the error's code.
+func (e *Error) WithUsualRetryAfter() *Error { return e.WithRetryAfter(0) }
+
 // Error implements error.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%d %s: %s", int(e.Code), e.Code.Definition().Name, e.Message)
--- /dev/null
+++ b/result/retryafter_test.go
@@ -0,0 +1,39 @@
+package result
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// TestRetryAfterOfEachCode walks through all codes: what a caller is told when nothing
+// was computed, and when a short or a long wait was.
+func TestRetryAfterOfEachCode(t *testing.T) {
+	const short, long = time.Millisecond, 5 * time.Second
+	usual := map[Code]time.Duration{
+		StoreUnavailable: time.Second, Overloaded: time.Second, ShedEarly: time.Second, Draining: time.Second,
+		NoNode: time.Second, ClaimUnavailable: time.Second, BackendUnreachable: time.Second, NotReady: time.Second,
+		NodeRefused: time.Second, BackendRefused: time.Second, BackendLeft: time.Second, KeysUnproven: time.Second,
+		QuotaExceeded: time.Second,
+	}
+	for _, definition := range Table {
+		t.Run(definition.Name, func(t *testing.T) {
+			is := is.New(t)
+			is.Equal(RetryAfter(definition.Code, 0), usual[definition.Code])
+			is.Equal(RetryAfter(definition.Code, long), long)
+			least := short
+			if definition.Code == QuotaExceeded {
+				least = 100 * time.Millisecond
+			}
+			is.Equal(RetryAfter(definition.Code, short), least)
+		})
+	}
+}
+
+func TestSpreadWait(t *testing.T) {
+	is := is.New(t)
+	is.Equal(SpreadWait(time.Second, 0), time.Second)
+	is.Equal(SpreadWait(time.Second, 0.5), 1250*time.Millisecond)
+	is.Equal(SpreadWait(0, 0.5), time.Duration(0))
+}
--- a/store/consulkv/client.go
+++ b/store/consulkv/client.go
@@ -94,7 +94,7 @@
 	case got.status < 300 || got.status == http.StatusNotFound:
 		return nil
 	case got.status == http.StatusTooManyRequests:
-		return result.New(result.StoreUnavailable, "the store limits the rate of requests").WithRetryAfter(time.Second)
+		return result.New(result.StoreUnavailable, "the store limits the rate of requests").WithUsualRetryAfter()
 	case method != http.MethodGet && got.status != http.StatusServiceUnavailable:
 		return result.New(result.EditOutcomeUnknown, "the store answered a write with status %d", got.status)
 	default:
