--- a/kernel/lifecycle.go
+++ b/kernel/lifecycle.go
@@ -101,7 +101,8 @@
 // end, which stays, would stand idle for seconds at each restart.
 const peerNotice = time.Second
 
-// announce tells the peers that the process leaves.
+// announce tells the peers that the process leaves. It fails only when the time to stop
+// has run out: then the process ends at once, and the peers notice its silence.
 func (p *Process) announce(ctx context.Context) {
 	p.announced.Store(true)
 	_ = p.Loop.Do(ctx, func(time.Time) { p.Mesh.SetState(true, false) })
--- a/kernel/servers.go
+++ b/kernel/servers.go
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, server := range s.list {
-		_ = server.Stop(ctx)
+		_ = server.Stop(ctx) // what does not end in time is closed below
 	}
 	s.kill()
 }
--- a/plugin/membership/setup.go
+++ b/plugin/membership/setup.go
@@ -225,6 +225,8 @@
 // serveLeave handles the news that the machine list shows this machine as
 // leaving: the process takes no new calls, but does not stop by itself.
 func (m *mesh) serveLeave(w http.ResponseWriter, r *http.Request) {
+	// It fails when the sender has gone or this process ends. The sender tells again at its
+	// next reading of the machine list, until this process says that it leaves.
 	_ = m.process.Loop.Do(r.Context(), func(time.Time) { m.machine.SetState(true, false) })
 	kernel.WriteJSON(w, wire.Empty{})
 }
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -30,7 +30,7 @@
 	for {
 		fetches, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Fetch { return o.replica.Fetches() })
 		if err != nil {
-			return
+			return // the process ends
 		}
 		o.fetchAll(ctx, fetches)
 		if len(fetches) > 0 {
@@ -51,7 +51,7 @@
 	}
 	document, err := o.groups.Load().Encode()
 	if err != nil {
-		return
+		return // never: the document was decoded from JSON
 	}
 	var waiting sync.WaitGroup
 	for _, fetch := range fetches {
@@ -71,8 +71,10 @@
 	source := o.holder(fetch.From, fetch.Group, fetch.Epoch-1)
 	err := o.process.Control.Invoke(ctx, source.Control, http.MethodPost, wire.PathHandOver, &request, &reply)
 	if err != nil || !reply.OK {
-		return
+		return // it is fetched again, or another replica's claims make the majority
 	}
+	// It fails when the process ends, or when the loop was busy for so long that the claims
+	// are fetched again.
 	_ = o.process.Loop.Do(ctx, func(now time.Time) {
 		if o.replica.TakeOver(now, fetch, reply.Claims) {
 			o.process.Log.Emit(event.ClaimGroupSynced, "group", fetch.Group, "epoch", fetch.Epoch)
--- a/plugin/once/planner.go
+++ b/plugin/once/planner.go
@@ -60,6 +60,7 @@
 	if err != nil || !acquired {
 		return plan.Lost, err
 	}
+	// A lease that can't be released runs out by itself after planLeaseTime.
 	defer func() { _ = lease.Release(context.WithoutCancel(ctx)) }()
 	return o.writePlan(ctx, candidates)
 }
--- a/plugin/once/replicas.go
+++ b/plugin/once/replicas.go
@@ -92,6 +92,8 @@
 				o.process.Loop.Post(func(time.Time) { o.update(path, update) })
 				return
 			}
+			// A replica that does not hear of it keeps the claim, without the answer, until it
+			// expires: the request is refused or its outcome is unknown, but it runs once.
 			_ = o.process.Control.Invoke(ctx, replica.Control, http.MethodPost, path, &update, &wire.Empty{})
 		})
 	}
--- a/plugin/once/seats.go
+++ b/plugin/once/seats.go
@@ -68,11 +68,11 @@
 	places, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Seat { return o.replica.Places() })
 	document := o.groups.Load()
 	if err != nil || document == nil || len(places) == 0 {
-		return
+		return // there is nothing to hand over, or no time left to stop
 	}
 	data, err := document.Encode()
 	if err != nil {
-		return
+		return // never: the document was decoded from JSON
 	}
 	for _, place := range places {
 		o.handOverPlace(ctx, place, o.successors(document, place), data)
@@ -122,7 +122,7 @@
 		return &wire.SeatRequest{Seat: place, Claims: handed, Document: document}
 	})
 	if err != nil || request == nil {
-		return
+		return // no time is left to stop, or a new epoch has replaced this process
 	}
 	for _, successor := range successors {
 		var reply wire.SeatReply
@@ -130,7 +130,7 @@
 		err := o.process.Control.Invoke(asking, successor.Control, http.MethodPost, wire.PathSeat, request, &reply)
 		cancel()
 		if err != nil || reply.OK {
-			return
+			return // taken, or not known: asking another one could give the place twice
 		}
 	}
 }
