--- a/plugin/quarantine/body.go
+++ b/plugin/quarantine/body.go
@@ -10,7 +10,7 @@
 )
 
 // answerBody finds out how an answer ends: a request that crashes a back end in the middle
-// of its answer has not been answered.
+// of its answer is a lost one.
 type answerBody struct {
 	io.ReadCloser
 	plugin  *plugin
--- a/plugin/quarantine/peers.go
+++ b/plugin/quarantine/peers.go
@@ -15,39 +15,42 @@
 
 // Bounds of messages between processes.
 const (
-	// tellTimeout bounds one message. A process that does not answer learns of the crash
+	// reportTimeout bounds one report. A process that does not answer learns of the crash
 	// by gossip.
-	tellTimeout = 500 * time.Millisecond
-	// tellAtOnce is the number of processes that are told at a time.
-	tellAtOnce = 16
+	reportTimeout = 500 * time.Millisecond
+	// reportsAtOnce is the number of reports that are on their way at a time.
+	reportsAtOnce = 16
 	// pullTimeout bounds the transfer of all that a peer knows.
 	pullTimeout = time.Second
-	// pullAgain is the time for which a digest that was looked into is not looked into
-	// again: a peer that knows less shows another digest until it has caught up.
+	// pullAgain is the time for which no peer is asked again about the same digest: one that
+	// knows less than this process shows another digest until it has caught up.
 	pullAgain = 2 * time.Second
+	// maximumPulled bounds the digests that are remembered.
+	maximumPulled = 64
 )
 
-// tell sends what is known of crashes to all processes, those of the own service first:
-// their back ends are the next to run the request.
-func (p *plugin) tell(crashes []quarantine.Crash) {
+// broadcast reports crashes to all processes, those of the own service first: their back
+// ends are the next to run the request.
+func (p *plugin) broadcast(crashes []quarantine.Crash) {
 	message := wire.Crashes{From: p.process.ID, Crashes: crashes}
-	slots := make(chan struct{}, tellAtOnce)
+	limit := make(chan struct{}, reportsAtOnce)
 	pending := sync.WaitGroup{}
-	for _, member := range p.audience() {
-		slots <- struct{}{}
+	for _, member := range p.peers() {
+		limit <- struct{}{}
 		pending.Go(func() {
-			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(p.process.Context(), tellTimeout)
+			defer func() { <-limit }()
+			ctx, cancel := context.WithTimeout(p.process.Context(), reportTimeout)
 			defer cancel()
-			// One that is not reached learns of it by gossip.
+			// The error is dropped: a process that is not reached learns of the crash by
+			// gossip, and plugin membership logs which members do not answer.
 			_ = p.process.Control.Invoke(ctx, member.Control, http.MethodPost, wire.PathQuarantine, &message, &wire.Empty{})
 		})
 	}
 	pending.Wait()
 }
 
-// audience returns the other processes, those of the own service first.
-func (p *plugin) audience() []membership.Member {
+// peers returns the other processes, those of the own service first.
+func (p *plugin) peers() []membership.Member {
 	own, others := []membership.Member{}, []membership.Member{}
 	for _, member := range *p.process.Members.Load() {
 		switch {
@@ -61,7 +64,7 @@
 	return append(own, others...)
 }
 
-// receiveCrashes takes what another process tells.
+// receiveCrashes takes the reports of another process.
 func (p *plugin) receiveCrashes(w http.ResponseWriter, r *http.Request) {
 	var message wire.Crashes
 	if !kernel.ReadJSON(w, r, &message) {
@@ -71,7 +74,7 @@
 	kernel.WriteJSON(w, wire.Empty{})
 }
 
-// serveCrashes tells another process all that is known here.
+// serveCrashes answers another process with all that is known here.
 func (p *plugin) serveCrashes(w http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	answer := wire.Crashes{From: p.process.ID, Crashes: p.ledger.All(clock.Now().Time())}
@@ -102,7 +105,7 @@
 	go p.pull(peer)
 }
 
-// worthPulling reports whether a digest has not been looked into for a while.
+// worthPulling reports whether no peer was asked about a digest a moment ago.
 func (p *plugin) worthPulling(now time.Time, digest uint64) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -116,9 +119,6 @@
 	return true
 }
 
-// maximumPulled bounds the digests that are remembered.
-const maximumPulled = 64
-
 // pull fetches all that a peer knows.
 func (p *plugin) pull(peer string) {
 	defer p.pulling.Store(false)
@@ -126,7 +126,7 @@
 	defer cancel()
 	var answer wire.Crashes
 	if err := p.process.Control.Invoke(ctx, peer, http.MethodGet, wire.PathQuarantine, nil, &answer); err != nil {
-		return // another message of any peer tries again
+		return // the next message of any peer with another digest tries again
 	}
 	p.learn(clock.Now().Time(), answer.Crashes, answer.From)
 }
--- a/plugin/quarantine/setup_test.go
+++ b/plugin/quarantine/setup_test.go
@@ -26,8 +26,8 @@
 	return &plugin{
 		process:  process,
 		ledger:   quarantine.NewLedger(quarantine.Config{}),
-		doubtful: make(chan struct{}, 1),
-		unsaved:  make(chan struct{}, 1),
+		checkDue: make(chan struct{}, 1),
+		saveDue:  make(chan struct{}, 1),
 	}
 }
 
@@ -45,7 +45,7 @@
 // Symptom: after all processes had been killed, a request that had been in quarantine
 // took back ends again.
 //
-// Sequence: two back ends end at the same moment, as the second and third of the request.
+// Sequence: two back ends crash at the same moment, as the second and third of the request.
 // Each of their nodes knows of two, and learns of the third from the other.
 //
 // Cause: only a node whose own report completed the number wrote to the store, and here
@@ -54,16 +54,16 @@
 	is := is.New(t)
 	p, call := newPlugin(), callOf("/x", "mine")
 	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("first", call)}, "peer")
-	is.Equal(p.noteLoss(call, result.New(result.ConnectionLost, "broken")).(*result.Error).Code, result.ConnectionLost)
-	p.ended("mine", "replaced")
-	is.Equal(len(p.unsaved), 0) // two are known
+	is.Equal(p.recordLoss(call, result.New(result.ConnectionLost, "broken")).(*result.Error).Code, result.ConnectionLost)
+	p.crashed("mine", "replaced")
+	is.Equal(len(p.saveDue), 0) // two are known
 	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("theirs", call)}, "peer")
-	is.Equal(len(p.unsaved), 1)
+	is.Equal(len(p.saveDue), 1)
 
 	// One that has lost none to it leaves that to others.
 	bystander := newPlugin()
 	bystander.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", call), crashOf("b", call), crashOf("c", call)}, "peer")
-	is.Equal(len(bystander.unsaved), 0)
+	is.Equal(len(bystander.saveDue), 0)
 }
 
 func TestWhatBecomesOfAttempts(t *testing.T) {
@@ -92,7 +92,7 @@
 	is.True(!result.From(failure).NotRun())
 
 	// Then it is refused, and has not run.
-	p.ended("mine", "refuses-connections")
+	p.crashed("mine", "refuses-connections")
 	before := calls
 	_, err := handler.Handle(call)
 	is.Equal(result.From(err).Code, result.RequestQuarantined)
@@ -106,10 +106,10 @@
 	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", other), crashOf("b", other)}, "peer")
 	answer, err := handler.Handle(other)
 	is.NoErr(err)
-	is.Equal(p.ledger.Crashes(other.Signature()), 2) // the answer is on its way
+	is.Equal(len(p.ledger.SuspectedOf(other.Signature())), 2) // the answer is on its way
 	_, err = io.ReadAll(answer.Body)
 	is.NoErr(err)
-	is.Equal(p.ledger.Crashes(other.Signature()), 0)
+	is.Equal(len(p.ledger.SuspectedOf(other.Signature())), 0)
 }
 
 // broken is a body that ends too early.
@@ -129,8 +129,8 @@
 	is.NoErr(err)
 	_, _ = io.ReadAll(answer.Body)
 	_ = answer.Body.Close()
-	is.Equal(len(p.doubtful), 1)
-	is.Equal(p.witness.Suspects("mine"), []quarantine.Signature{call.Signature()})
+	is.Equal(len(p.checkDue), 1)
+	is.Equal(p.lost.Suspects("mine"), []quarantine.Signature{call.Signature()})
 }
 
 // leavingBackEnd is a back end that has said that it leaves.
@@ -143,11 +143,11 @@
 func TestAPlannedEndIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	p, call := newPlugin(), callOf("/x", "mine")
-	_ = p.noteLoss(call, result.New(result.ConnectionLost, "broken"))
+	_ = p.recordLoss(call, result.New(result.ConnectionLost, "broken"))
 	p.process.BackEnd = leavingBackEnd{}
-	is.True(!p.look(t.Context(), clock.Now().Time()))
-	is.Equal(p.doubt, doubt{}) // the incarnation that comes after it says nothing
-	is.Equal(p.crashed.Load(), int64(0))
+	is.True(!p.stepCheck(t.Context(), clock.Now().Time()))
+	is.Equal(p.check, crashCheck{}) // the incarnation that comes after it says nothing
+	is.Equal(p.crashCount.Load(), int64(0))
 }
 
 // TestWhatWasClearedIsToldOn: a process that knows of cleared requests alone shows it, so
@@ -158,7 +158,7 @@
 	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", call)}, "peer")
 	before := p.Digest()
 	p.answered(call.Signature())
-	is.True(!p.watching.Load())
+	is.True(!p.hasSuspects.Load())
 	is.True(p.Digest() != 0)
 	is.True(p.Digest() != before)
 }
@@ -169,7 +169,7 @@
 	is := is.New(t)
 	p, call := newPlugin(), callOf("/x", "mine")
 	for _, code := range []result.Code{result.BackendRefused, result.BackendUnreachable, result.BackendLeft, result.CallerGone, result.AnswerMismatch} {
-		is.Equal(result.From(p.noteLoss(call, result.New(code, "no"))).Code, code)
+		is.Equal(result.From(p.recordLoss(call, result.New(code, "no"))).Code, code)
 	}
-	is.Equal(len(p.witness.Suspects("mine")), 0)
+	is.Equal(len(p.lost.Suspects("mine")), 0)
 }
--- a/plugin/quarantine/stored.go
+++ b/plugin/quarantine/stored.go
@@ -15,25 +15,26 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// storeKey is the key under which the requests in quarantine lie in the store, for the
-// case that all processes are started anew.
+// storeKey is the key under which the requests in quarantine lie in the store, as a
+// wire.Crashes, for the case that all processes are started anew.
 const storeKey = "quarantine"
 
 // Bounds of the use of the store.
 const (
+	// storeTimeout bounds one read, or one read with the write that follows it.
 	storeTimeout = 2 * time.Second
-	// storePause is the time between two tries to reach the store.
+	// storePause is the time between two attempts to reach the store.
 	storePause = time.Second
-	// meetingTime is waited for after the start until peers are known: they tell what
+	// discoveryTime is waited for after the start until peers are known: they tell what
 	// they know, and only a few processes go to the store.
-	meetingTime = time.Second
+	discoveryTime = time.Second
 )
 
 // keepStored reads what lies in the store, and writes there when a request came into
 // quarantine that this node has lost a back end to, so that a restart of all processes does
-// not cost the service three more back ends. That is a few calls for each such request.
+// not cost the service three more back ends. Each such request costs the store a few calls.
 func (p *plugin) keepStored(ctx context.Context) {
-	kernel.Pause(ctx, meetingTime)
+	kernel.Pause(ctx, discoveryTime)
 	alive := kernel.LiveIDs(*p.process.Members.Load())
 	if spread.Watches(p.process.ID, alive, p.process.Settings.StoreWatches) {
 		p.persist(ctx, p.load)
@@ -42,7 +43,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.unsaved:
+		case <-p.saveDue:
 			p.persist(ctx, p.write)
 		}
 	}
@@ -51,12 +52,12 @@
 // save has what is in quarantine written to the store.
 func (p *plugin) save() {
 	select {
-	case p.unsaved <- struct{}{}:
+	case p.saveDue <- struct{}{}:
 	default: // it is about to be written
 	}
 }
 
-// persist tries until the store has done its part.
+// persist repeats a step until it is done. The first error is logged.
 func (p *plugin) persist(ctx context.Context, step func(context.Context) (bool, error)) {
 	for failed := false; ctx.Err() == nil; {
 		limited, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -88,7 +89,7 @@
 	var stored wire.Crashes
 	if err := json.Unmarshal(entry.Value, &stored); err != nil {
 		p.process.Log.Emit(event.QuarantineNotStored, "error", err)
-		return entry, nil // it is written anew
+		return entry, nil // what can't be read is overwritten by the next write
 	}
 	p.learn(clock.Now().Time(), stored.Crashes, "store")
 	return entry, nil
@@ -101,9 +102,9 @@
 		return false, err
 	}
 	p.mutex.Lock()
-	convicted := p.ledger.Convicted(clock.Now().Time())
+	crashes := p.ledger.CrashesOfQuarantined(clock.Now().Time())
 	p.mutex.Unlock()
-	data, err := json.Marshal(wire.Crashes{Crashes: withoutAges(convicted)})
+	data, err := json.Marshal(wire.Crashes{Crashes: withoutAges(crashes)})
 	if err != nil {
 		return false, err
 	}
@@ -113,8 +114,8 @@
 	return p.process.Store.CompareAndSwap(ctx, storeKey, data, entry.Index)
 }
 
-// withoutAges returns crashes as if they had just been: nobody can tell how long they lie
-// in the store. A request in quarantine by them is let through for a trial as any other.
+// withoutAges returns crashes as if they had just been: nobody can tell how long they have
+// been in the store. A request in quarantine by them gets its trial as any other.
 func withoutAges(crashes []quarantine.Crash) []quarantine.Crash {
 	for i := range crashes {
 		crashes[i].Age = 0
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -11,15 +11,18 @@
 
 const second = time.Second
 
-// end returns the end of an incarnation with the requests that were lost in it.
-func end(id string, requests ...string) Crash {
-	told := Crash{ID: id}
+// crashOf returns the crash of an incarnation with the requests that were lost in it.
+func crashOf(id string, requests ...string) Crash {
+	report := Crash{ID: id}
 	for _, request := range requests {
-		told.Suspects = append(told.Suspects, signatureOf(request))
+		report.Suspects = append(report.Suspects, signatureOf(request))
 	}
-	return told
+	return report
 }
 
+// crashCount returns the number of crashes that a request is suspected of.
+func crashCount(ledger *Ledger, signature Signature) int { return len(ledger.SuspectedOf(signature)) }
+
 func never() bool  { return false }
 func always() bool { return true }
 
@@ -32,27 +35,27 @@
 func TestWhatPutsARequestIntoQuarantine(t *testing.T) {
 	cases := []struct {
 		name    string
-		ends    []Crash
+		crashes []Crash
 		refused []string
 		free    []string
 	}{
-		{"nothing has ended", nil, nil, []string{"x"}},
-		{"two ends are not enough", []Crash{end("a", "x"), end("b", "x")}, nil, []string{"x"}},
-		{"three are", []Crash{end("a", "x"), end("b", "x"), end("c", "x")}, []string{"x"}, nil},
+		{"nothing has crashed", nil, nil, []string{"x"}},
+		{"two crashes are not enough", []Crash{crashOf("a", "x"), crashOf("b", "x")}, nil, []string{"x"}},
+		{"three are", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "x")}, []string{"x"}, nil},
 		{"those that were lost with it once or twice go free",
-			[]Crash{end("a", "x", "y"), end("b", "x", "y", "z"), end("c", "z", "x")}, []string{"x"}, []string{"y", "z"}},
-		{"an end that is told again counts once", []Crash{end("a", "x"), end("b", "x"), end("b", "x"), end("a", "x")}, nil, []string{"x"}},
-		{"suspects that are told later count", []Crash{end("a", "x"), end("b", "x"), end("c", "y"), end("c", "x")}, []string{"x"}, []string{"y"}},
-		{"an end without a name says nothing", []Crash{end("a", "x"), end("b", "x"), end("", "x")}, nil, []string{"x"}},
-		{"nor does one of the future", []Crash{end("a", "x"), end("b", "x"), {ID: "c", Age: -1, Suspects: end("", "x").Suspects}}, nil, []string{"x"}},
-		{"nor one of long ago", []Crash{end("a", "x"), end("b", "x"), {ID: "c", Age: defaultKeep.Milliseconds(), Suspects: end("", "x").Suspects}}, nil, []string{"x"}},
+			[]Crash{crashOf("a", "x", "y"), crashOf("b", "x", "y", "z"), crashOf("c", "z", "x")}, []string{"x"}, []string{"y", "z"}},
+		{"a crash that is reported again counts once", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("b", "x"), crashOf("a", "x")}, nil, []string{"x"}},
+		{"suspects that are reported later count", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "y"), crashOf("c", "x")}, []string{"x"}, []string{"y"}},
+		{"a crash without a name says nothing", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("", "x")}, nil, []string{"x"}},
+		{"nor does one of the future", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: -1, Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
+		{"nor one of long ago", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: defaultKeep.Milliseconds(), Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			ledger := NewLedger(Config{})
-			for _, told := range c.ends {
-				ledger.Report(start, told)
+			for _, report := range c.crashes {
+				ledger.Report(start, report)
 			}
 			for _, request := range c.refused {
 				is.True(refused(ledger, 0, request))
@@ -64,12 +67,12 @@
 	}
 }
 
-// convicted returns a ledger with a request "x" in quarantine since the start.
-func convicted(t *testing.T) *Ledger {
+// withQuarantined returns a ledger with a request "x" in quarantine since the start.
+func withQuarantined(t *testing.T) *Ledger {
 	t.Helper()
 	ledger := NewLedger(Config{})
 	for _, id := range []string{"a", "b", "c"} {
-		ledger.Report(start, end(id, "x", "of "+id))
+		ledger.Report(start, crashOf(id, "x", "of "+id))
 	}
 	is.New(t).True(refused(ledger, 0, "x"))
 	return ledger
@@ -79,14 +82,14 @@
 	is := is.New(t)
 	ledger := NewLedger(Config{})
 	for _, id := range []string{"a", "b"} {
-		news, quarantined := ledger.Report(start, end(id, "x"))
+		news, quarantined := ledger.Report(start, crashOf(id, "x"))
 		is.True(news)
 		is.Equal(len(quarantined), 0)
 	}
-	news, quarantined := ledger.Report(start, end("c", "x", "y"))
+	news, quarantined := ledger.Report(start, crashOf("c", "x", "y"))
 	is.True(news)
 	is.Equal(quarantined, []Signature{signatureOf("x")})
-	news, quarantined = ledger.Report(start, end("c", "x", "y"))
+	news, quarantined = ledger.Report(start, crashOf("c", "x", "y"))
 	is.True(!news)
 	is.Equal(len(quarantined), 0)
 }
@@ -94,27 +97,27 @@
 func TestAnAnswerClears(t *testing.T) {
 	is := is.New(t)
 	ledger := NewLedger(Config{})
-	ledger.Report(start, end("a", "x", "y"))
-	ledger.Report(start, end("b", "x"))
+	ledger.Report(start, crashOf("a", "x", "y"))
+	ledger.Report(start, crashOf("b", "x"))
 	cleared := ledger.Answered(start, signatureOf("x"))
 	is.Equal(len(cleared), 2)
-	is.Equal(ledger.Crashes(signatureOf("x")), 0)
-	is.Equal(ledger.Crashes(signatureOf("y")), 1) // of which nothing is known
+	is.Equal(crashCount(ledger, signatureOf("x")), 0)
+	is.Equal(crashCount(ledger, signatureOf("y")), 1) // of which nothing is known
 
-	// Two more ends begin from nothing, also where the first two are told again.
-	ledger.Report(start, end("c", "x"))
-	ledger.Report(start, end("d", "x"))
-	ledger.Report(start, end("a", "x", "y"))
+	// Two more crashes begin from nothing, also where the first two are reported again.
+	ledger.Report(start, crashOf("c", "x"))
+	ledger.Report(start, crashOf("d", "x"))
+	ledger.Report(start, crashOf("a", "x", "y"))
 	is.True(!refused(ledger, 0, "x"))
 
 	// Others learn of it.
 	other := NewLedger(Config{})
 	for _, id := range []string{"a", "b", "c"} {
-		other.Report(start, end(id, "x"))
+		other.Report(start, crashOf(id, "x"))
 	}
 	is.True(refused(other, 0, "x"))
-	for _, told := range cleared {
-		news, _ := other.Report(start, told)
+	for _, report := range cleared {
+		news, _ := other.Report(start, report)
 		is.True(news)
 	}
 	is.True(!refused(other, 0, "x"))
@@ -122,47 +125,47 @@
 
 func TestQuarantineLastsLongerEachTime(t *testing.T) {
 	is := is.New(t)
-	ledger := convicted(t)
+	ledger := withQuarantined(t)
 	is.True(refused(ledger, defaultPeriod-second, "x"))
 	verdict, _ := ledger.Decide(start.Add(defaultPeriod), signatureOf("x"), always)
-	is.Equal(verdict, Try)
-	ledger.Tried(signatureOf("x"))
+	is.Equal(verdict, Trial)
+	ledger.EndTrial(signatureOf("x"))
 
-	// It ended another one: the quarantine is twice as long.
+	// It crashed another one: the quarantine is twice as long.
 	at := start.Add(defaultPeriod)
-	ledger.Report(at, end("d", "x"))
+	ledger.Report(at, crashOf("d", "x"))
 	verdict, left := ledger.Decide(at, signatureOf("x"), always)
 	is.Equal(verdict, Refuse)
 	is.Equal(left, 2*defaultPeriod)
-	is.Equal(ledger.period(1000), defaultKeep)
+	is.Equal(ledger.quarantineTime(1000), defaultKeep)
 }
 
 func TestOneTrialAtATime(t *testing.T) {
 	is := is.New(t)
-	ledger := convicted(t)
+	ledger := withQuarantined(t)
 	later := start.Add(defaultPeriod)
 	verdict, wait := ledger.Decide(later, signatureOf("x"), never)
 	is.Equal(verdict, Refuse) // trials are made elsewhere
 	is.Equal(wait, trialPause)
 	verdict, _ = ledger.Decide(later, signatureOf("x"), always)
-	is.Equal(verdict, Try)
+	is.Equal(verdict, Trial)
 	verdict, _ = ledger.Decide(later, signatureOf("x"), always)
 	is.Equal(verdict, Refuse)
-	ledger.Tried(signatureOf("x"))
+	ledger.EndTrial(signatureOf("x"))
 	verdict, _ = ledger.Decide(later, signatureOf("x"), always)
-	is.Equal(verdict, Try)
+	is.Equal(verdict, Trial)
 	ledger.Answered(later, signatureOf("x"))
 	verdict, _ = ledger.Decide(later, signatureOf("x"), never)
 	is.Equal(verdict, Admit)
 }
 
-func TestEndsAreForgotten(t *testing.T) {
+func TestCrashesAreForgotten(t *testing.T) {
 	is := is.New(t)
-	ledger := convicted(t)
+	ledger := withQuarantined(t)
 	ledger.Expire(start.Add(defaultKeep - 1))
-	is.True(ledger.Watching())
+	is.True(ledger.HasSuspects())
 	ledger.Expire(start.Add(defaultKeep))
-	is.True(!ledger.Watching())
+	is.True(!ledger.HasSuspects())
 	is.Equal(len(ledger.All(start)), 0)
 	is.Equal(ledger.Digest(start), uint64(0))
 }
@@ -171,35 +174,35 @@
 	is := is.New(t)
 	ledger := NewLedger(Config{})
 	for i := range 3 * maximumCrashes {
-		told := Crash{ID: fmt.Sprint(i)}
+		report := Crash{ID: fmt.Sprint(i)}
 		for j := range 2 * maximumSuspects {
-			told.Suspects = append(told.Suspects, signatureOf(fmt.Sprint(i, j)))
+			report.Suspects = append(report.Suspects, signatureOf(fmt.Sprint(i, j)))
 		}
-		ledger.Report(start.Add(time.Duration(i)), told)
+		ledger.Report(start.Add(time.Duration(i)), report)
 	}
 	is.Equal(len(ledger.crashes), maximumListed/maximumSuspects) // fewer than maximumCrashes: these are large
 	is.Equal(ledger.listed, maximumListed)
-	is.Equal(len(ledger.records), maximumListed)
+	is.Equal(len(ledger.suspects), maximumListed)
 	_, newest := ledger.crashes[fmt.Sprint(3*maximumCrashes-1)]
 	is.True(newest)
 
 	small := NewLedger(Config{})
 	for i := range 3 * maximumCrashes {
-		small.Report(start.Add(time.Duration(i)), end(fmt.Sprint(i), fmt.Sprint(i)))
+		small.Report(start.Add(time.Duration(i)), crashOf(fmt.Sprint(i), fmt.Sprint(i)))
 	}
 	is.Equal(len(small.crashes), maximumCrashes)
-	is.Equal(len(small.records), maximumCrashes)
+	is.Equal(len(small.suspects), maximumCrashes)
 	is.Equal(small.listed, maximumCrashes)
 }
 
-func TestConvictedNamesTheGuiltyAlone(t *testing.T) {
+func TestOnlyQuarantinedRequestsAreSaved(t *testing.T) {
 	is := is.New(t)
 	restarted := NewLedger(Config{})
-	for _, told := range convicted(t).Convicted(start) {
-		restarted.Report(start, told)
+	for _, report := range withQuarantined(t).CrashesOfQuarantined(start) {
+		restarted.Report(start, report)
 	}
 	is.True(refused(restarted, 0, "x"))
-	is.Equal(restarted.Crashes(signatureOf("of a")), 0)
+	is.Equal(crashCount(restarted, signatureOf("of a")), 0)
 }
 
 // TestLedgersAgree: whatever order news comes in, and however often, processes that have
@@ -219,19 +222,19 @@
 			case 0:
 				at.Answered(now, signatureOf(fmt.Sprint(random.IntN(requests))))
 			case 1:
-				for _, told := range ledgers[random.IntN(processes)].All(now) {
-					at.Report(now, told)
+				for _, report := range ledgers[random.IntN(processes)].All(now) {
+					at.Report(now, report)
 				}
 			default:
-				at.Report(now, end(fmt.Sprint(random.IntN(news)), fmt.Sprint(random.IntN(requests)), fmt.Sprint(random.IntN(requests))))
+				at.Report(now, crashOf(fmt.Sprint(random.IntN(news)), fmt.Sprint(random.IntN(requests)), fmt.Sprint(random.IntN(requests))))
 			}
 		}
 		now := start.Add(news * second)
 		for range 2 {
 			for _, from := range ledgers {
 				for _, to := range ledgers {
-					for _, told := range from.All(now) {
-						to.Report(now, told)
+					for _, report := range from.All(now) {
+						to.Report(now, report)
 					}
 				}
 			}
@@ -242,12 +245,12 @@
 			}
 			for request := range requests {
 				signature := signatureOf(fmt.Sprint(request))
-				if ledger.Crashes(signature) != ledgers[0].Crashes(signature) {
-					t.Fatalf("seed %d: request %d is suspected of %d and %d ends", seed, request, ledger.Crashes(signature), ledgers[0].Crashes(signature))
+				if crashCount(ledger, signature) != crashCount(ledgers[0], signature) {
+					t.Fatalf("seed %d: request %d is suspected of %d and %d crashes", seed, request, crashCount(ledger, signature), crashCount(ledgers[0], signature))
 				}
 			}
 		}
-		ledgers[0].Report(now, end("another", "0"))
+		ledgers[0].Report(now, crashOf("another", "0"))
 		if ledgers[0].Digest(now) == ledgers[1].Digest(now) {
 			t.Fatalf("seed %d: a difference does not show", seed)
 		}
--- a/quarantine/mesh_test.go
+++ b/quarantine/mesh_test.go
@@ -13,12 +13,12 @@
 	step        = 10 * time.Millisecond
 	gossipEvery = 200 * time.Millisecond // one exchange of each process
 	longestWay  = 400 * time.Millisecond // of a message that is not lost
-	backAfter   = 3 * time.Second        // a back end after its end
+	backAfter   = 3 * time.Second        // a back end after its crash
 	contact     = 3 * time.Second        // what must be known is known in this time by those in touch
 	meshTime    = 60 * time.Second
 	// newRequestEvery is the time after which another request begins to crash back ends.
 	newRequestEvery = 20 * time.Second
-	allowedLate     = 3 // arrivals of a request later than contact after its third end
+	allowedLate     = 3 // arrivals of a request later than contact after its third crash
 )
 
 // safeguards are what keeps a request from taking back end after back end. Each can be
@@ -37,14 +37,14 @@
 	stored  []Crash
 	loss    int                       // one message of so many is lost
 	pace    int                       // steps between two tries of a crashing request, on average
-	ends    map[Signature][]time.Time // of back ends, by the request that ended them
-	late    map[Signature]int         // arrivals later than contact after the third end
+	crashes map[Signature][]time.Time // of back ends, by the request that crashed them
+	late    map[Signature]int         // arrivals later than contact after the third crash
 }
 
 type meshNode struct {
 	ledger    *Ledger
 	starts    int
-	own       []string  // ends of the back end beside it
+	own       []string  // crashes of the back end beside it
 	backAt    time.Time // of the back end
 	cutUntil  time.Time // from all others
 	troubleAt time.Time // last kill or cut, or its end
@@ -61,11 +61,11 @@
 
 func newMesh(seed uint64, with safeguards) *mesh {
 	m := &mesh{
-		random: rand.New(rand.NewPCG(seed, 7)),
-		with:   with,
-		now:    start,
-		ends:   map[Signature][]time.Time{},
-		late:   map[Signature]int{},
+		random:  rand.New(rand.NewPCG(seed, 7)),
+		with:    with,
+		now:     start,
+		crashes: map[Signature][]time.Time{},
+		late:    map[Signature]int{},
 	}
 	m.loss = []int{10, 4}[m.random.IntN(2)]
 	m.pace = []int{15, 150}[m.random.IntN(2)]
@@ -111,23 +111,23 @@
 	case sent.pull:
 		m.send(message{from: sent.to, to: sent.from, crashes: ledger.All(m.now)})
 	case sent.crashes != nil:
-		for _, told := range sent.crashes {
-			m.learn(sent.to, told)
+		for _, report := range sent.crashes {
+			m.learn(sent.to, report)
 		}
 	case sent.digest != 0 && sent.digest != ledger.Digest(m.now):
 		m.send(message{from: sent.to, to: sent.from, pull: true})
 	}
 }
 
-// learn tells a node of an end. A node that has lost a back end to a request which is now
+// learn reports a crash to a node. A node that has lost a back end to a request which is now
 // in quarantine writes that to the store.
-func (m *mesh) learn(i int, told Crash) {
+func (m *mesh) learn(i int, report Crash) {
 	node := m.nodes[i]
-	_, quarantined := node.ledger.Report(m.now, told)
+	_, quarantined := node.ledger.Report(m.now, report)
 	for _, signature := range quarantined {
-		own := slices.ContainsFunc(node.ledger.Ends(signature), func(id string) bool { return slices.Contains(node.own, id) })
+		own := slices.ContainsFunc(node.ledger.SuspectedOf(signature), func(id string) bool { return slices.Contains(node.own, id) })
 		if own && m.with.store && !m.cut(i) {
-			m.stored = append(m.stored, withZeroAges(node.ledger.Convicted(m.now))...)
+			m.stored = append(m.stored, withZeroAges(node.ledger.CrashesOfQuarantined(m.now))...)
 		}
 	}
 }
@@ -151,21 +151,21 @@
 	if m.now.Before(node.backAt) {
 		return true
 	}
-	again := !node.ledger.MayConvict(crashing)
+	again := !node.ledger.QuarantinedByNextCrash(crashing)
 	inTouch := m.now.Sub(node.troubleAt) > contact
-	ends := m.ends[crashing]
-	if inTouch && len(ends) >= 3 && m.now.Sub(ends[2]) > contact {
+	crashes := m.crashes[crashing]
+	if inTouch && len(crashes) >= 3 && m.now.Sub(crashes[2]) > contact {
 		m.late[crashing]++
 	}
-	m.ends[crashing] = append(ends, m.now)
+	m.crashes[crashing] = append(crashes, m.now)
 	node.backAt = m.now.Add(backAfter)
 	node.starts++
-	told := Crash{ID: fmt.Sprint(i, ".", node.starts), Suspects: []Signature{signatureOf(fmt.Sprint(m.random.IntN(100))), crashing}}
-	node.own = append(node.own, told.ID)
-	m.learn(i, told)
+	report := Crash{ID: fmt.Sprint(i, ".", node.starts), Suspects: []Signature{signatureOf(fmt.Sprint(m.random.IntN(100))), crashing}}
+	node.own = append(node.own, report.ID)
+	m.learn(i, report)
 	if m.with.tell {
 		for peer := range m.nodes {
-			m.send(message{from: i, to: peer, crashes: []Crash{told}})
+			m.send(message{from: i, to: peer, crashes: []Crash{report}})
 		}
 	}
 	return again
@@ -194,8 +194,8 @@
 		}
 		m.nodes[i] = &meshNode{ledger: NewLedger(Config{}), starts: node.starts, backAt: node.backAt, troubleAt: m.now}
 		if m.with.store {
-			for _, told := range m.stored {
-				m.nodes[i].ledger.Report(m.now, told)
+			for _, report := range m.stored {
+				m.nodes[i].ledger.Report(m.now, report)
 			}
 		}
 	}
@@ -277,18 +277,18 @@
 
 // TestTellingSavesBackEnds: told at once, nodes know before the request comes to them.
 func TestTellingSavesBackEnds(t *testing.T) {
-	ends := func(with safeguards) (sum int) {
+	count := func(with safeguards) (sum int) {
 		for seed := range uint64(15) {
 			m := newMesh(seed, with)
 			m.run()
-			for _, ends := range m.ends {
-				sum += len(ends)
+			for _, crashes := range m.crashes {
+				sum += len(crashes)
 			}
 		}
 		return sum
 	}
-	told, gossiped := ends(safeguards{tell: true, gossip: true, store: true}), ends(safeguards{gossip: true, store: true})
-	t.Logf("back ends that ended in 15 meshes: %d, without telling %d", told, gossiped)
+	told, gossiped := count(safeguards{tell: true, gossip: true, store: true}), count(safeguards{gossip: true, store: true})
+	t.Logf("back ends that crashed in 15 meshes: %d, without telling %d", told, gossiped)
 	if told >= gossiped {
 		t.Errorf("telling saves nothing: %d against %d", told, gossiped)
 	}
