--- /dev/null
+++ b/docs/docs_test.go
@@ -0,0 +1,80 @@
+// Package docs holds the pages. Its tests compare them with the code.
+package docs
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"github.com/loomcleat/loomcleat/kernel"
+)
+
+// TestTheArchitectureListsTheChains: its tables name the plug-ins in the order of
+// kernel/chain.go, and so does its drawing.
+func TestTheArchitectureListsTheChains(t *testing.T) {
+	is := is.New(t)
+	content, err := os.ReadFile("ARCHITECTURE.md")
+	is.NoErr(err)
+	page := string(content)
+	_, afterOutbound, found := strings.Cut(page, "| outbound: ")
+	is.True(found)
+	outbound, afterInbound, found := strings.Cut(afterOutbound, "| inbound: ")
+	is.True(found)
+	inbound, _, _ := strings.Cut(afterInbound, "\n\n")
+	is.Equal(rowsOf(outbound), kernel.OutboundChain)
+	is.Equal(rowsOf(inbound), kernel.InboundChain)
+	is.True(strings.Contains(page, "outbound chain: "+strings.Join(kernel.OutboundChain, " ▸ ")))
+	is.True(strings.Contains(page, "inbound chain: "+strings.Join(kernel.InboundChain, " ▸ ")))
+}
+
+var pluginRow = regexp.MustCompile(`(?m)^\| \[([a-z]+)\]`)
+
+// rowsOf returns the plug-ins that the rows of a table begin with.
+func rowsOf(table string) []string {
+	names := []string{}
+	for _, row := range pluginRow.FindAllStringSubmatch(table, -1) {
+		names = append(names, row[1])
+	}
+	return names
+}
+
+var link = regexp.MustCompile(`\]\(([^)#: ]+)(#[^)]*)?\)`)
+
+// ignored are folders whose pages are not ours, or not pages.
+var ignored = []string{".git", "journal", "target", "bin", "testdata"}
+
+// TestLinksLeadSomewhere checks the relative links of all pages.
+func TestLinksLeadSomewhere(t *testing.T) {
+	is := is.New(t)
+	is.NoErr(filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && slices.Contains(ignored, entry.Name()) {
+			return filepath.SkipDir
+		}
+		if filepath.Ext(path) == ".md" {
+			checkLinks(t, path)
+		}
+		return nil
+	}))
+}
+
+func checkLinks(t *testing.T, page string) {
+	t.Helper()
+	content, err := os.ReadFile(page)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, found := range link.FindAllStringSubmatch(string(content), -1) {
+		if _, err := os.Stat(filepath.Join(filepath.Dir(page), found[1])); err != nil {
+			t.Errorf("%s: the link to %s leads nowhere", page, found[1])
+		}
+	}
+}
