--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,9 @@
-// Package cli is the command line of loomcleat.
+// Package cli is the command line of loomcleat: one file for each command, or for each
+// group of them.
+//
+// It owns the grammar, what commands print and their exit statuses. It relies on package
+// daemon to run a process, on package policy/editor to edit the policy tree in the store,
+// and on the control addresses of processes for everything about a running mesh.
 package cli
 
 import (
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -113,27 +113,37 @@
 // pollInterval is the time between two looks at the mesh.
 const pollInterval = 50 * time.Millisecond
 
-// waitInForce waits until all members that answer have the policy revision and
-// returns how many have it and how many there are.
+// pollTimeout is the time that each process has to answer one look.
+const pollTimeout = time.Second
+
+// waitInForce waits until all members have the policy revision, patience at most, and
+// returns how many have it and how many there are, 0 when the mesh did not answer.
 func waitInForce(address string, revision uint64, patience time.Duration) (inForce, members int) {
 	end := time.Now().Add(patience)
 	for {
-		inForce, members = 0, 0
-		statuses, err := meshStatus(address, time.Second)
-		if err == nil {
-			for _, s := range statuses {
-				if s.State == membership.Dead.String() {
-					continue
-				}
-				members++
-				if s.Revisions.Policy >= revision {
-					inForce++
-				}
-			}
-		}
+		inForce, members = countInForce(address, revision)
 		if (members > 0 && inForce == members) || time.Now().After(end) {
 			return inForce, members
 		}
 		time.Sleep(pollInterval)
 	}
 }
+
+// countInForce returns how many members have the policy revision and how many there are.
+// Those that do not answer count as members that do not have it, dead ones not at all.
+func countInForce(address string, revision uint64) (inForce, members int) {
+	statuses, err := meshStatus(address, pollTimeout)
+	if err != nil {
+		return 0, 0 // the next look may succeed; in the end the command prints how many have it
+	}
+	for _, s := range statuses {
+		if s.State == membership.Dead.String() {
+			continue
+		}
+		members++
+		if s.Revisions.Policy >= revision {
+			inForce++
+		}
+	}
+	return inForce, members
+}
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -71,32 +71,33 @@
 		group.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
-			var told wire.Tenants
-			if askProcess(ctx, member.Control, wire.PathTenants, &told) == nil {
-				answers[i] = &told
+			var answer wire.Tenants
+			if askProcess(ctx, member.Control, wire.PathTenants, &answer) == nil {
+				answers[i] = &answer
 			} // one that does not answer is counted as silent
 		})
 	}
 	group.Wait()
-	return addUp(first.Members, answers), nil
+	return sumOf(first.Members, answers), nil
 }
 
-func addUp(members []membership.Member, answers []*wire.Tenants) meshTenants {
+// sumOf adds up the answers of members, nil for those that did not answer.
+func sumOf(members []membership.Member, answers []*wire.Tenants) meshTenants {
 	found := meshTenants{}
 	byName := map[string]*tenantUse{}
 	for i, member := range members {
-		told := answers[i]
+		answer := answers[i]
 		switch {
 		case member.Status == membership.Dead:
 			continue
-		case told == nil:
+		case answer == nil:
 			found.Silent++
 			continue
-		case told.CutOff:
+		case answer.CutOff:
 			found.CutOff++
 		}
 		found.Answered++
-		for _, state := range told.Quotas {
+		for _, state := range answer.Quotas {
 			addState(byName, state)
 		}
 	}
@@ -109,7 +110,8 @@
 	return found
 }
 
-// addState adds what one process knows of a tenant. The lowest share is shown.
+// addState adds what one process knows of a tenant. Of the shares that processes admit,
+// the lowest one is shown.
 func addState(byName map[string]*tenantUse, state quota.State) {
 	use, exists := byName[state.Tenant]
 	if !exists {
--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -22,7 +22,7 @@
 		nil,
 		nil,
 	}
-	found := addUp(members, answers)
+	found := sumOf(members, answers)
 	is.Equal(found.Answered, 2)
 	is.Equal(found.CutOff, 1)
 	is.Equal(found.Silent, 1) // one that is dead is not expected to answer
