--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -1,6 +1,10 @@
 // Package explain tells the story of one request from the logs of several
 // processes: what each decided about it, in order of cause, and what they believed.
 //
+// It owns how lines are linked: by the name of a request, by the parent that a call was
+// made for, and by the signature of what was asked for. It relies on the numbered events
+// and results alone, and on no process that runs.
+//
 // Clocks of machines differ and jump, so that times of day of different logs are
 // not compared. Lines of one log are in order; between logs, what a call's own
 // calls came to stands before what became of the call.
