--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,13 @@
 // Package settings reads and checks the settings file of one process.
 //
+// It owns the keys, their defaults and ranges, and which changes need a restart. It relies
+// on nothing but the file and the flags of the command line. What operators change while
+// processes run is in the policy tree (package policy).
+//
 // The file is YAML. Unknown keys, wrong units and values out of range are
 // reported with file and line, and the process does not start.
+//
+// A default that says "estimate" was not compared with others.
 package settings
 
 import "time"
@@ -71,11 +77,11 @@
 	// Empty: it sends none, and the node looks after it by itself. Nodes only.
 	Heartbeats string `yaml:"heartbeats"`
 
-	// BackendDrain is the time within which a back end that said that it is
-	// leaving gets no more requests, 2ms to 1m. They end after half of it, so that
-	// those on their way arrive in time. Longer loses fewer offers to callers that
-	// have not heard of it; it must not be above what was promised to the back
-	// end. Default 2s.
+	// BackendDrain is the time after which a back end that said that it is leaving
+	// gets no more requests, 2ms to 1m. The node stops after half of it, so that
+	// requests on their way arrive in time. Longer refuses fewer calls of processes
+	// that have not heard of it yet; it must not be above what was promised to the
+	// back end. Nodes only. Default 2s, an estimate.
 	BackendDrain Duration `yaml:"backend_drain"`
 
 	// Control is the address for messages between processes. Required.
@@ -112,9 +118,9 @@
 	StopWithin Duration `yaml:"stop_within"`
 
 	// StoreWatches is the number of processes that watch the store, 1 to 1000; the
-	// others hear of changes from them. More cost the store more calls, fewer let
-	// a change wait longer when those that watch are cut off from the store.
-	// Default 3.
+	// others hear of changes from them. More cost the store more calls, one each
+	// 0.7s and document; fewer let a change wait longer when those that watch are
+	// cut off from the store. Default 3, an estimate.
 	StoreWatches int `yaml:"store_watches"`
 
 	// PolicyRequired says that the process takes no requests until the store or a
@@ -128,23 +134,24 @@
 	// again once it may have run. It must be equal in the whole mesh. Default true.
 	Claims bool `yaml:"claims"`
 
-	// KeyRevocation is the time after which a key of a tenant that was taken away works
-	// nowhere any more, 4s to 10m, also at a process that is cut off: one that cannot
-	// prove that its policy was the newest one so long ago refuses requests with keys.
-	// Shorter revokes sooner, longer bears longer outages of the store; proofs by waits
-	// of the store are up to 2s old while all is well. 0: processes
-	// that are cut off go on with the keys that they know. Default 0.
+	// KeyRevocation is the time after which a revoked key of a tenant works nowhere, 4s
+	// to 10m, also at a process that is cut off: a process that cannot prove that its
+	// policy was the newest one that long ago refuses requests with keys. Shorter
+	// revokes sooner, longer bears longer outages of the store; proofs by waits of
+	// the store are up to 2s old while all is well. 0: processes that are cut off go on
+	// with the keys that they know. Default 0.
 	KeyRevocation Duration `yaml:"key_revocation"`
 
-	// Quota bounds how far tenants may go beyond their quotas.
+	// Quota bounds by how much tenants may exceed their quotas.
 	Quota Quota `yaml:"quota"`
 
-	// RetryBudget bounds the repeated attempts of the whole mesh.
+	// RetryBudget bounds the retries of the whole mesh.
 	RetryBudget RetryBudget `yaml:"retry_budget"`
 
-	// AnnounceTime is how long a stopping process still takes requests while
-	// it tells its peers that it leaves, 0s to 1m. Longer loses fewer retries,
-	// shorter stops sooner. Default 1s.
+	// AnnounceTime is how long a stopping process still takes requests, 0s to 1m. In
+	// its last second the process tells its peers that it leaves. Longer lets more
+	// callers go elsewhere without a retry, shorter stops sooner. Default 1s, in which
+	// gossip reaches all of a mesh of hundreds.
 	AnnounceTime Duration `yaml:"announce_time"`
 
 	// DrainTimeout is how long a stopping process waits for requests in
@@ -152,36 +159,38 @@
 	DrainTimeout Duration `yaml:"drain_timeout"`
 
 	// ProbeInterval is the time between two liveness probes to peers, 50ms to
-	// 1m. Detection time and control traffic both follow it. Default 1s.
+	// 1m. Shorter finds dead peers sooner, longer sends fewer messages. Default 1s:
+	// a crash is known after 5.1s in a mesh of 16 and 7.0s in one of 64, at 1.1 and
+	// 1.3 messages a second and process (virtual time, without losses).
 	ProbeInterval Duration `yaml:"probe_interval"`
 
 	// ClaimRetention is how long a request stays protected from running twice,
-	// 1s to 24h. Memory grows with it. It must be equal in the whole mesh.
-	// Default 10m.
+	// 1s to 24h. Longer protects callers that come back later, at about 250 bytes a
+	// claim. It must be equal in the whole mesh. Default 10m, an estimate.
 	ClaimRetention Duration `yaml:"claim_retention"`
 
 	// ClaimReplicas is the number of processes that hold each claim, 1, 3, 5
-	// or 7; a majority must answer before a request runs. Default 3.
+	// or 7; a majority must answer before a request runs. More bear the loss of more
+	// processes at once and cost a message each. Default 3, which bears one.
 	ClaimReplicas int `yaml:"claim_replicas"`
 
 	// ClaimGroups is the number of claim groups that keys are spread over, 1
 	// to 1024. It must be equal in the whole mesh and never change while
-	// requests are served. Default 16.
+	// requests are served. More spread claims over more processes. Default 16, an
+	// estimate.
 	ClaimGroups int `yaml:"claim_groups"`
 
 	// MaximumClaims bounds the claims held in memory, 100 to 10000000; beyond
-	// it, requests that may not be repeated are refused. Default 100000.
+	// it, requests that may not be repeated are refused. Default 100000, about 25 MB.
 	MaximumClaims int `yaml:"maximum_claims"`
 }
 
-// RetryBudget bounds the attempts after the first that all processes together
-// send to one service. In each window they are at most Ratio times the requests
-// for the service, plus Slack.
+// RetryBudget bounds the retries that all processes together send to one service. In
+// each window they are at most Ratio times the requests for the service, plus Slack.
 type RetryBudget struct {
 	// Ratio is the share of the requests, 0 to 1. Default 0.
 	Ratio float64 `yaml:"ratio"`
-	// Slack is the number of repeated attempts beyond that, 0 to 100000.
-	// Default 0.
+	// Slack is the number of retries beyond that, 0 to 100000. Default 0.
 	Slack int `yaml:"slack"`
 	// Window is the length of a window, 1s to 10m. 0: there is no such bound,
 	// and each process bounds its own retries by retry_ratio of the policy tree.
@@ -189,20 +198,24 @@
 	Window Duration `yaml:"window"`
 }
 
-// Quota bounds how far the requests of a tenant may go beyond its quota. In each window,
-// those of all processes together are at most (1 + Overshoot) times what its quota
-// allows, plus Slack.
+// Quota bounds by how much a tenant may exceed its quota. In each window, its requests
+// at all processes together are at most (1 + Overshoot) times what its quota allows,
+// plus Slack. Smaller bounds are held by more reports, and refuse more requests that are
+// within the quota.
 type Quota struct {
-	// Window is the length of a window, 1s to 1m. Default 5s.
+	// Window is the length of a window, 1s to 1m. Default 5s, an estimate.
 	Window Duration `yaml:"window"`
-	// Overshoot is a share of what the quota allows, 0 to 1. Default 0.1.
+	// Overshoot is a share of what the quota allows, 0 to 1. Default 0.1, an estimate.
 	Overshoot float64 `yaml:"overshoot"`
-	// Slack is a number of requests, 0 to 100000. Default 20.
+	// Slack is a number of requests, 0 to 100000. It serves tenants of a few requests a
+	// second, whose share at one process is less than one request. Default 20, an
+	// estimate.
 	Slack int `yaml:"slack"`
-	// Interval is the time between two reports of a process to the one that adds up
-	// what tenants use, 50ms to 10s. Shorter follows demand sooner and costs more
-	// messages. 0: no reports are made, and each process keeps to an equal share of
-	// each quota. Default 500ms.
+	// Interval is the longest time between two reports of a process to the coordinator
+	// of quotas, 50ms to 10s. Shorter follows demand sooner and costs more messages.
+	// 0: no reports are made, and each process keeps to an equal share of each quota.
+	// Default 500ms: 2.5 reports and 0.6 KB a second and process (virtual time, 82
+	// processes, 84 tenants).
 	Interval Duration `yaml:"interval"`
 }
 
@@ -224,49 +237,3 @@
 
 // Std returns the value as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
-
-// Shares of StopWithin. Requests are taken for a while, since callers look at the
-// readiness only now and then; the rest is for what is in flight then.
-const (
-	announceShare = 0.5
-	stopShare     = 0.9
-)
-
-// StopTimes returns how long a process that was told to stop still takes
-// requests, and how long it then waits for those in flight.
-func (s *Settings) StopTimes() (announce, drain time.Duration) {
-	if s.StopWithin == 0 {
-		return s.AnnounceTime.Std(), s.DrainTimeout.Std()
-	}
-	whole := float64(s.StopWithin.Std())
-	return time.Duration(whole * announceShare), time.Duration(whole * (stopShare - announceShare))
-}
-
-// Default returns the settings of a process whose file is empty.
-func Default(role Role) Settings {
-	return Settings{
-		Role:         role,
-		Region:       "default",
-		Zone:         "default",
-		Outbound:     "127.0.0.1:0",
-		Admin:        "127.0.0.1:0",
-		Log:          Log{Level: "info", Format: "text"},
-		StoreWatches: 3,
-		Quota: Quota{
-			Window:    Duration(5 * time.Second),
-			Overshoot: 0.1,
-			Slack:     20,
-			Interval:  Duration(500 * time.Millisecond),
-		},
-		StoreAPI:       StoreConsul,
-		Claims:         true,
-		AnnounceTime:   Duration(time.Second),
-		BackendDrain:   Duration(2 * time.Second),
-		DrainTimeout:   Duration(30 * time.Second),
-		ProbeInterval:  Duration(time.Second),
-		ClaimRetention: Duration(10 * time.Minute),
-		ClaimReplicas:  3,
-		ClaimGroups:    16,
-		MaximumClaims:  100000,
-	}
-}
