--- a/event/events.go
+++ b/event/events.go
@@ -1,6 +1,9 @@
 // Package event defines the numbered log events of loomcleat and a logger that
 // writes them through hclog.
 //
+// It owns the catalogue, the bound on lines of one event, and the queue between a process
+// and whoever reads its log. It relies on no other package of loomcleat.
+//
 // Numbers are stable across versions, so that alerts can be written against
 // them. docs/EVENTS.md is checked against Catalogue by a test.
 package event
--- a/event/limit.go
+++ b/event/limit.go
@@ -5,10 +5,14 @@
 	"time"
 )
 
-// Bounds of the lines of one event.
+// Bounds of the lines of one event. Under overload an event may come thousands of times a
+// second; the first lines show what happens. Estimates.
 const (
-	linesPerSecond = 10 // lasting
-	lineBurst      = 50 // at once
+	// linesPerSecond is the lasting rate.
+	linesPerSecond = 10
+	// lineBurst is the number of lines that may be written at once.
+	lineBurst = 50
+	// reportInterval is the least time between two lines that tell how many were left out.
 	reportInterval = time.Second
 )
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,9 @@
-// Package daemon runs a loomcleat process under a kratos application: it opens
-// the platform adapters, handles signals and stops in order.
+// Package daemon runs a loomcleat process under a kratos application.
+//
+// It owns which adapter the settings ask for (the store of the users' platform, or one that
+// speaks Consul's HTTP API), signals, the orderly stop, and reading the settings anew while
+// the process runs. It relies on package kernel for the process itself, and imports all
+// plug-ins.
 package daemon
 
 import (
@@ -23,7 +27,7 @@
 )
 
 // stopMargin is added to the announce and drain times before the application
-// gives up on an orderly stop.
+// gives up on an orderly stop. The process ends well before; this is for one that hangs.
 const stopMargin = 10 * time.Second
 
 // Open makes a Process with the adapters that its settings name.
@@ -71,11 +75,13 @@
 	})
 }
 
-// logQueue is the number of lines of the log that may wait for a reader.
-const logQueue = 1024
-
-// flushTime is how long an ending process waits for the reader of its log.
-const flushTime = 200 * time.Millisecond
+// Bounds of the log of a process. Estimates.
+const (
+	// logQueue is the number of lines that may wait for a reader. Further ones are dropped.
+	logQueue = 1024
+	// flushTime is how long an ending process waits for the reader.
+	flushTime = 200 * time.Millisecond
+)
 
 // Run runs a process until it is told to stop by SIGTERM or SIGINT. Its settings
 // are those of the source, which is read again on SIGHUP and when its file
@@ -94,15 +100,9 @@
 		log.Emit(event.StartFailed, "code", int(result.From(err).Code), "error", err)
 		return err
 	}
-	reload := &reloader{source: source, current: s, log: log, apply: func(loaded settings.Settings) {
-		log.SetLevel(loaded.Log.Level)
-		process.Reload(loaded.Seeds)
-	}}
-	reload.stamp = reload.look()
-	go reload.run(process.Context())
+	go newReloader(source, s, process, log).run(process.Context())
 	announce, drain := s.StopTimes()
-	patience := announce + drain + stopMargin
-	return RunServers(patience, process)
+	return RunServers(announce+drain+stopMargin, process)
 }
 
 // RunServers runs servers in one application until SIGTERM or SIGINT.
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/loomcleat/loomcleat/event"
+	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/settings"
 )
@@ -34,6 +35,17 @@
 	apply   func(settings.Settings)
 }
 
+// newReloader returns a reloader of a process that was opened with the settings.
+func newReloader(source Source, opened settings.Settings, process *kernel.Process, log *event.Logger) *reloader {
+	r := &reloader{source: source, current: opened, log: log}
+	r.apply = func(loaded settings.Settings) {
+		log.SetLevel(loaded.Log.Level)
+		process.Reload(loaded.Seeds)
+	}
+	r.stamp = r.look()
+	return r
+}
+
 // fileStamp tells versions of a file apart.
 type fileStamp struct {
 	modified time.Time
--- a/policy/document.go
+++ b/policy/document.go
@@ -2,10 +2,12 @@
 // families, families contain services, services contain call paths. Each entry
 // inherits from the one above it and overrides only what differs.
 //
-// The tree is one Document with a revision, kept in the platform's store. The
-// package decides; it does no I/O. Editing is Document.Apply, which returns a
-// checked copy; reading is Index.Resolve, which gives the Effective settings
-// of one call.
+// The package owns the form of the Document that lies in the store, its checks and
+// defaults, and the rules of inheritance, of routes and of tenants. It does no I/O:
+// package policy/editor writes documents, plug-in configsync spreads them.
+//
+// The tree is one Document with a revision. Editing is Document.Apply, which returns a
+// checked copy; reading is Index.Resolve, which gives the Effective settings of one call.
 package policy
 
 import (
--- a/policy/editor/editor.go
+++ b/policy/editor/editor.go
@@ -48,10 +48,14 @@
 	return document, entry.Index, err
 }
 
+// Bounds of the attempts to write an edit. With 50 of them, up to half a second apart, the
+// time that the command was given ends most edits first. Estimates.
 const (
 	maximumAttempts = 50
-	firstBackoff    = 5 * time.Millisecond
-	maximumBackoff  = 500 * time.Millisecond
+	// firstBackoff is the longest wait before the second attempt; it doubles with each
+	// further one, up to maximumBackoff.
+	firstBackoff   = 5 * time.Millisecond
+	maximumBackoff = 500 * time.Millisecond
 )
 
 // Apply writes the changes as one edit and returns the tree that contains it.
