--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -16,15 +16,15 @@
 
 // read takes the report out of a node's answer. Refusals of the node become
 // errors again.
-func (r *router) read(call *kernel.Call, balancer *balance.Balancer, target balance.Target, response *http.Response, loan int) (*kernel.Answer, error) {
+func (a *attempt) read(response *http.Response) (*kernel.Answer, error) {
 	report := wire.ReadReport(response.Header)
-	if report.Attempt != call.Attempt {
+	if report.Attempt != a.call.Attempt {
 		_ = response.Body.Close() // unread, so that the connection is closed
-		r.process.Log.Emit(event.AnswerMismatch, "node", target.ID)
-		return nil, result.New(result.AnswerMismatch, "node %s answered another request", target.ID)
+		a.router.process.Log.Emit(event.AnswerMismatch, "node", a.target.ID)
+		return nil, result.New(result.AnswerMismatch, "node %s answered another request", a.target.ID)
 	}
-	learn(call, balancer, target, &report)
-	call.Budget.Repay(loan, report.Unspent)
+	a.learn(&report)
+	a.call.Budget.Repay(a.loan, report.Unspent)
 	if response.Header.Get(result.HeaderCode) != "" {
 		defer response.Body.Close()
 		return nil, refusalOf(response)
@@ -40,20 +40,24 @@
 	}, nil
 }
 
-// learn takes what a node's answer tells of the node and of the way there.
-func learn(call *kernel.Call, balancer *balance.Balancer, target balance.Target, report *wire.Report) {
+// learn takes what a node reports of itself and of the services that it called.
+func (a *attempt) learn(report *wire.Report) {
 	now := time.Now()
-	call.NotePressure(report.Pressure)
+	node, path := a.target.ID, a.call.Policy.Path
+	a.call.NotePressure(report.Pressure)
 	if report.LoadKnown {
-		balancer.SetLoad(now, target.ID, report.Load)
+		a.balancer.SetLoad(now, node, report.Load)
 	}
-	balancer.SetFaults(now, target.ID, report.Faults)
-	balancer.SetLevel(now, target.ID, call.Policy.Path, report.Level)
+	a.balancer.SetFaults(now, node, report.Faults)
+	a.balancer.SetLevel(now, node, path, report.Level)
 	if report.Level > 0 {
-		noteLevel(call, balancer.Level(now, call.Policy.Path))
+		noteLevel(a.call, a.balancer.Level(now, path))
 	}
 }
 
+// intHeader returns the number in a header, 0 when there is none. Nodes send whole numbers
+// or leave the header out; one that can't be read is taken for left out, as by an unknown
+// result code, which becomes Internal.
 func intHeader(header http.Header, name string) int {
 	value, err := strconv.Atoi(header.Get(name))
 	if err != nil {
@@ -88,18 +92,18 @@
 // attemptBody ends the attempt at the end of the body.
 type attemptBody struct {
 	io.ReadCloser
-	finish func(balance.Outcome)
-	whole  balance.Outcome // when the body comes to its end
-	ended  bool
+	end   func(balance.Outcome)
+	whole balance.Outcome // when the body comes to its end
+	ended bool
 }
 
 // Read implements io.Reader.
 func (b *attemptBody) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err == io.EOF {
-		b.end(b.whole)
+		b.endOnce(b.whole)
 	} else if err != nil {
-		b.end(balance.Failed)
+		b.endOnce(balance.Failed)
 	}
 	return n, err
 }
@@ -107,13 +111,13 @@
 // Close implements io.Closer.
 func (b *attemptBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.end(balance.Unknown)
+	b.endOnce(balance.Unknown)
 	return err
 }
 
-func (b *attemptBody) end(outcome balance.Outcome) {
+func (b *attemptBody) endOnce(outcome balance.Outcome) {
 	if !b.ended {
 		b.ended = true
-		b.finish(outcome)
+		b.end(outcome)
 	}
 }
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -9,94 +9,109 @@
 	"github.com/loomcleat/loomcleat/balance"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
+	"github.com/loomcleat/loomcleat/retry"
 	"github.com/loomcleat/loomcleat/wire"
 )
 
+// attempt is one sending of a call to a node.
+type attempt struct {
+	router   *router
+	call     *kernel.Call
+	balancer *balance.Balancer
+	target   balance.Target
+	started  time.Time
+	loan     int // retries lent to the node
+	cancel   context.CancelCauseFunc
+}
+
 // attempt sends the call to one node.
 func (r *router) attempt(call *kernel.Call, balancer *balance.Balancer, target balance.Target) (*kernel.Answer, error) {
-	started := time.Now()
-	call.Attempt = r.process.NewIdentity()
-	loan := call.Budget.Lend()
-	header := r.header(call, loan)
-	if call.Execution != nil {
-		call.Execution.BeginChild(started)
-	}
-	ctx, cancel := context.WithCancelCause(call.Context)
-	release := r.boundAttempt(call, balancer, target, cancel)
-	response, err := r.transmitter.Send(ctx, call, target.Address, header)
-	release() // the answer itself may take as long as the deadline allows
-	finish := func(outcome balance.Outcome) {
-		cancel(nil)
-		now := time.Now()
-		balancer.Done(now, target.ID, now.Sub(started), outcome)
-		if call.Execution != nil {
-			call.Execution.EndChild(now)
-		}
-	}
+	a := &attempt{router: r, call: call, balancer: balancer, target: target, started: time.Now()}
+	response, err := a.send()
 	if err != nil {
-		if result.From(err).NotRun() {
-			call.Budget.Repay(loan, loan) // the loan never left this process
-		}
-		if result.From(err).Code == result.DeadlineExceeded {
-			call.NotePressure(admission.TimeoutPressure)
-		}
-		finish(outcomeOf(call, err))
+		a.noteUnanswered(result.From(err))
+		a.end(outcomeOf(call, err))
 		return nil, err
 	}
-	answer, err := r.read(call, balancer, target, response, loan)
+	answer, err := a.read(response)
 	if err != nil {
-		finish(outcomeOf(call, err))
+		a.end(outcomeOf(call, err))
 		return nil, err
 	}
-	answer.Body = &attemptBody{ReadCloser: answer.Body, finish: finish, whole: outcomeOfAnswer(answer)}
+	answer.Body = &attemptBody{ReadCloser: answer.Body, end: a.end, whole: outcomeOfAnswer(answer)}
 	return answer, nil
 }
 
-// Bounds of the time for one attempt of a call that can be sent again.
-const (
-	attemptLatencies   = 8                      // times the usual latency
-	minimumAttemptTime = 500 * time.Millisecond // at least
-	claimedAttemptTime = 2 * time.Second        // at least, for a call that may not be repeated
-)
-
-// boundAttempt ends one attempt of a call that can be sent again when its answer
-// does not begin in time, so that a node that hangs leaves time for another. A
-// call that may not be repeated goes on at its node; the next attempt finds its
-// claim and waits for its answer. The bound holds until release is called.
-//
-// Where all processes share a retry budget, there may be none left for the next
-// attempt, and what the back end has worked would be lost: silence is no reason to
-// end an attempt there. Connections that are cut end by themselves.
-func (r *router) boundAttempt(call *kernel.Call, balancer *balance.Balancer, target balance.Target, cancel context.CancelCauseFunc) (release func()) {
-	sharedBudget := r.process.Settings.RetryBudget.Window > 0
-	if sharedBudget || !call.Body.Replayable() || call.Budget.Left() == 0 || balancer.Size() < 2 {
-		return func() {} // the deadline bounds it
+// send sends the call and waits for the header of the answer.
+func (a *attempt) send() (*http.Response, error) {
+	a.call.Attempt = a.router.process.NewIdentity()
+	a.loan = a.call.Budget.Lend()
+	header := a.header()
+	if a.call.Execution != nil {
+		a.call.Execution.BeginChild(a.started)
 	}
-	least := minimumAttemptTime
-	if !call.Policy.Repeatable {
-		least = claimedAttemptTime
+	ctx, cancel := context.WithCancelCause(a.call.Context)
+	a.cancel = cancel
+	stopTimeout := a.startTimeout()
+	defer stopTimeout() // the rest of the answer may take as long as the deadline allows
+	return a.router.transmitter.Send(ctx, a.call, a.target.Address, header)
+}
+
+// startTimeout ends the attempt when its answer does not begin in time (retry.Timeout),
+// until stop is called.
+func (a *attempt) startTimeout() (stop func()) {
+	call := a.call
+	limit, bounded := retry.Timeout(retry.Attempt{
+		Repeatable:   call.Policy.Repeatable,
+		Retriable:    call.Body.Replayable() && call.Budget.Left() > 0 && a.balancer.Size() >= 2,
+		SharedBudget: a.router.process.Settings.RetryBudget.Window > 0,
+		Latency:      a.balancer.Latency(a.target.ID),
+		Left:         call.Deadline.Left(),
+	})
+	if !bounded {
+		return func() {}
 	}
-	limit := min(call.Deadline.Left(), max(attemptLatencies*balancer.Latency(target.ID), least))
-	timer := time.AfterFunc(limit, func() { cancel(context.DeadlineExceeded) })
+	timer := time.AfterFunc(limit, func() { a.cancel(context.DeadlineExceeded) })
 	return func() { timer.Stop() }
 }
 
-// header builds the headers of an attempt.
-func (r *router) header(call *kernel.Call, loan int) http.Header {
-	told := wire.CallContext{
+// noteUnanswered takes the end of an attempt that no node has answered.
+func (a *attempt) noteUnanswered(err *result.Error) {
+	if err.NotRun() {
+		a.call.Budget.Repay(a.loan, a.loan) // the loan never left this process
+	}
+	if err.Code == result.DeadlineExceeded {
+		a.call.NotePressure(admission.TimeoutPressure)
+	}
+}
+
+// end ends the attempt, whose outcome counts for or against its node.
+func (a *attempt) end(outcome balance.Outcome) {
+	a.cancel(nil)
+	now := time.Now()
+	a.balancer.Done(now, a.target.ID, now.Sub(a.started), outcome)
+	if a.call.Execution != nil {
+		a.call.Execution.EndChild(now)
+	}
+}
+
+// header builds the headers of the attempt.
+func (a *attempt) header() http.Header {
+	call, process := a.call, a.router.process
+	sent := wire.CallContext{
 		Service:   call.Service,
 		Request:   call.Request,
 		Attempt:   call.Attempt,
 		Priority:  call.Priority,
 		Remaining: call.Deadline.Left(),
-		Budget:    loan,
+		Budget:    a.loan,
 		Hops:      call.Hops,
 		Target:    call.Policy.TargetLatency,
 		Repeat:    call.Repeat,
 	}
-	r.process.WriteContext(call, &told)
+	process.WriteContext(call, &sent)
 	header := call.Header.Clone()
-	delete(header, r.process.Dialect.Remaining) // the node sets it anew for its back end
-	told.Write(header)
+	delete(header, process.Dialect.Remaining) // the node sets it anew for its back end
+	sent.Write(header)
 	return header
 }
--- a/plugin/routing/routing_test.go
+++ b/plugin/routing/routing_test.go
@@ -18,6 +18,7 @@
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/policy"
 	"github.com/loomcleat/loomcleat/result"
+	"github.com/loomcleat/loomcleat/retry"
 	"github.com/loomcleat/loomcleat/retrybudget"
 	"github.com/loomcleat/loomcleat/settings"
 	"github.com/loomcleat/loomcleat/wire"
@@ -55,7 +56,7 @@
 	}
 	r, _ := routerTo(addresses...)
 	r.process.Settings.RetryBudget.Window = settings.Duration(10 * time.Second)
-	ctx, cancel := context.WithTimeout(t.Context(), minimumAttemptTime+200*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), retry.LeastTimeout+200*time.Millisecond)
 	defer cancel()
 	call := newCall(ctx)
 	call.Budget = retrybudget.Open(8)
--- /dev/null
+++ b/retry/timeout_test.go
@@ -0,0 +1,34 @@
+package retry
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+func TestTimeout(t *testing.T) {
+	const minute = time.Minute
+	cases := []struct {
+		name    string
+		attempt Attempt
+		limit   time.Duration
+		bounded bool
+	}{
+		{"nothing is known of the node", Attempt{Repeatable: true, Retriable: true, Left: minute}, LeastTimeout, true},
+		{"a fast node", Attempt{Repeatable: true, Retriable: true, Latency: time.Millisecond, Left: minute}, LeastTimeout, true},
+		{"a slow node", Attempt{Repeatable: true, Retriable: true, Latency: time.Second, Left: minute}, 8 * time.Second, true},
+		{"little time left", Attempt{Repeatable: true, Retriable: true, Left: time.Millisecond}, time.Millisecond, true},
+		{"claimed", Attempt{Retriable: true, Left: minute}, leastClaimedTimeout, true},
+		{"no other attempt could follow", Attempt{Repeatable: true, Left: minute}, 0, false},
+		{"the budget is shared", Attempt{Repeatable: true, Retriable: true, SharedBudget: true, Left: minute}, 0, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			limit, bounded := Timeout(c.attempt)
+			is.Equal(limit, c.limit)
+			is.Equal(bounded, c.bounded)
+		})
+	}
+}
