--- a/plugin/admission/wait.go
+++ b/plugin/admission/wait.go
@@ -78,12 +78,17 @@
 	case verdict := <-verdicts:
 		return ticket, refusal(verdict)
 	default:
+		return a.waitQueued(call, ticket, verdicts)
 	}
-	// The controller has no clock: it is told when a request has waited enough.
-	// One that may wait as long as it has time is ended by its context.
+}
+
+// waitQueued waits for the verdict on a request in the queue. The controller has no clock:
+// it is told when a request has waited enough. A committed one may wait as long as it has
+// time, and is ended by its context.
+func (a *admitter) waitQueued(call *kernel.Call, ticket *admission.Ticket, verdicts <-chan admission.Verdict) (*admission.Ticket, error) {
 	waited := time.NewTimer(call.Policy.QueueTime)
 	defer waited.Stop()
-	if request.Committed {
+	if ticket.Committed {
 		waited.Stop()
 	}
 	for {
@@ -99,8 +104,8 @@
 	}
 }
 
-// expireAgain is when the controller is told again, in case the settings gave
-// the request more time than its own policy says.
+// expireAgain is the time until the controller is told again: a request may wait longer
+// than the queue time of its policy (admission.Request.Patience).
 const expireAgain = 10 * time.Millisecond
 
 // withdraw gives up waiting. The slot may have become free at the same moment.
--- a/plugin/shed/gates.go
+++ b/plugin/shed/gates.go
@@ -11,19 +11,20 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// shed holds the gates of one process.
-type shed struct {
+// gates holds the gates of one process.
+type gates struct {
 	process *kernel.Process
 	mutex   sync.Mutex
-	gates   map[string]*route // by the path of the policy
+	byPath  map[string]*routeGate // by the path of the policy
 }
 
-// route is the gate of one route.
-type route struct {
+// routeGate is the gate of one route.
+type routeGate struct {
 	gate *admission.Gate
-	// longest is the most time that a caller gave a request: that of a first try.
-	longest time.Duration
-	opening opening // as it was last logged
+	// firstPatience is the most time that a caller gave a request: that of a first try.
+	// What a request has less, it has spent on tries that were refused.
+	firstPatience time.Duration
+	opening       opening // as it was last logged
 }
 
 // opening is how far a gate is open, as operators want to know it.
@@ -48,29 +49,30 @@
 	}
 }
 
-func (s *shed) middleware(next kernel.Handler) kernel.Handler {
+func (g *gates) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		if !call.Routed || !call.External {
 			return next.Handle(call)
 		}
-		if share, admitted := s.admit(call); !admitted {
+		if share, admitted := g.admit(call); !admitted {
 			return nil, result.New(result.ShedEarly, "route %s admits a share of %.2f now", call.Policy.Path, share).WithUsualRetryAfter()
 		}
 		started := time.Now()
 		answer, err := next.Handle(call)
-		s.done(call, pressureOf(call, answer, err, time.Since(started)))
+		g.done(call, pressureOf(call, answer, err, time.Since(started)))
 		return answer, err
 	})
 }
 
-// admit reports whether the call is admitted, and the share that is.
-func (s *shed) admit(call *kernel.Call) (share float64, admitted bool) {
+// admit reports whether the call is admitted, and the share that is. It notes when there
+// may be room for a call that is refused.
+func (g *gates) admit(call *kernel.Call) (share float64, admitted bool) {
 	now := time.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	found := s.route(call, now)
-	found.longest = max(found.longest, call.Patience)
-	admitted = found.gate.Admit(now, admission.Rank(found.longest-call.Patience, rand.Float64()))
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	found := g.route(call, now)
+	found.firstPatience = max(found.firstPatience, call.Patience)
+	admitted = found.gate.Admit(now, admission.Rank(found.firstPatience-call.Patience, rand.Float64()))
 	call.RoomAfter = found.gate.Reopens()
 	return found.gate.Share(), admitted
 }
@@ -81,25 +83,27 @@
 	return admission.RoutePressure(call.Pressure, failed, taken, call.Policy.TargetLatency)
 }
 
-func (s *shed) done(call *kernel.Call, pressure float64) {
+// done records the pressure that an admitted call met, and logs when the gate has moved
+// from one opening to another.
+func (g *gates) done(call *kernel.Call, pressure float64) {
 	now := time.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	found := s.route(call, now)
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	found := g.route(call, now)
 	found.gate.Done(now, pressure)
 	share := found.gate.Share()
-	if now := openingOf(share); now != found.opening {
-		found.opening = now
-		s.process.Log.Emit(event.GateMoved, "path", call.Policy.Path, "opening", openingNames[now], "share", share, "pressure", pressure)
+	if moved := openingOf(share); moved != found.opening {
+		found.opening = moved
+		g.process.Log.Emit(event.GateMoved, "path", call.Policy.Path, "opening", openingNames[moved], "share", share, "pressure", pressure)
 	}
 }
 
-// route returns the route of a call. The mutex is held.
-func (s *shed) route(call *kernel.Call, now time.Time) *route {
-	found, exists := s.gates[call.Policy.Path]
+// route returns the gate of a call's route. The mutex is held.
+func (g *gates) route(call *kernel.Call, now time.Time) *routeGate {
+	found, exists := g.byPath[call.Policy.Path]
 	if !exists {
-		found = &route{gate: admission.NewGate(now, admission.GateConfig{})}
-		s.gates[call.Policy.Path] = found
+		found = &routeGate{gate: admission.NewGate(now, admission.GateConfig{})}
+		g.byPath[call.Policy.Path] = found
 	}
 	return found
 }
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -11,7 +11,7 @@
 func init() { kernel.Register(name, kernel.StageTraffic, setup) }
 
 func setup(process *kernel.Process) error {
-	s := &shed{process: process, gates: map[string]*route{}}
-	process.UseOutbound(name, s.middleware)
+	g := &gates{process: process, byPath: map[string]*routeGate{}}
+	process.UseOutbound(name, g.middleware)
 	return nil
 }
