--- a/result/codes.go
+++ b/result/codes.go
@@ -9,6 +9,10 @@
 //	4xxx  the request itself is not acceptable and did not run
 //	5xxx  a defect in loomcleat
 //
+// What a code lets a process conclude about another attempt, the node and the back end
+// stands in conclusion.go, what a refused caller is told about coming again in
+// retryafter.go. The package relies on nothing of the mesh.
+//
 // The table in docs/RESULTS.md is checked against Table by a test.
 package result
 
--- a/retrybudget/account.go
+++ b/retrybudget/account.go
@@ -1,16 +1,3 @@
-// Package retrybudget bounds the retries that one user request may cause in a
-// whole call graph, without any message of its own.
-//
-// The process at which a user request enters grants it a number of retries. An
-// Account holds what one process may still spend on behalf of the request.
-// With each call that the process makes for it, it lends a part of the account
-// to the callee (Lend); the callee opens its own Account with that loan. With
-// the answer comes what was not spent (Repay). A lost answer loses its loan.
-//
-// Retries are never counted twice: at any moment the sum over all accounts,
-// all loans in flight and all retries made is at most the grant. The sum can
-// only shrink. The bound therefore holds however deep or wide the call graph
-// is and whatever is lost.
 package retrybudget
 
 import "sync"
--- a/retrybudget/ratio.go
+++ b/retrybudget/ratio.go
@@ -11,7 +11,8 @@
 	last   time.Time
 }
 
-// Bounds of the bucket of Ratio.
+// Bounds of the bucket of Ratio. Estimates: a process that makes few calls can still try
+// some again.
 const (
 	ratioBurst   = 10.0 // retries that may be made at once
 	ratioMinimum = 1.0  // tokens a second at any rate of calls
--- a/retrybudget/shared.go
+++ b/retrybudget/shared.go
@@ -67,8 +67,9 @@
 // Repeat records a repeated attempt that was made whatever the bound says.
 func (s *Shared) Repeat(now time.Time) { s.slice(now).repeats++ }
 
-// ratioShare is the part of the ratio that is used. The rest covers windows of
-// which other processes see other requests.
+// ratioShare is the part of the ratio that is used. The rest covers that other processes
+// may count other requests into a window than this one does. Estimate, held against every
+// window by TestSharedKeepsTheCommonBoundInEveryWindow.
 const ratioShare = 0.7
 
 // rounding is what products of fractions may lack of a whole number.
