--- /dev/null
+++ b/plugin/quota/admit.go
@@ -0,0 +1,55 @@
+package quota
+
+import (
+	"time"
+
+	"github.com/loomcleat/loomcleat/clock"
+	"github.com/loomcleat/loomcleat/kernel"
+	"github.com/loomcleat/loomcleat/quota"
+	"github.com/loomcleat/loomcleat/result"
+)
+
+// middleware refuses the requests of tenants that are beyond their quota.
+func (l *limiter) middleware(next kernel.Handler) kernel.Handler {
+	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
+		if call.Tenant == "" {
+			return next.Handle(call)
+		}
+		decision := l.admit(call.Tenant)
+		if decision.Report {
+			l.reportSoon()
+		}
+		if !decision.Admitted {
+			return nil, result.New(result.QuotaExceeded, "tenant %s is beyond its quota, by %s", call.Tenant, decision.Basis).
+				WithRetryAfter(max(decision.RetryAfter, leastRetryAfter))
+		}
+		answer, err := next.Handle(call)
+		if err != nil && result.From(err).NotRun() {
+			l.refund(call.Tenant)
+		}
+		return answer, err
+	})
+}
+
+// leastRetryAfter is the least that a refused caller is told.
+const leastRetryAfter = 100 * time.Millisecond
+
+func (l *limiter) admit(tenant string) quota.Decision {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.ledger.Admit(clock.Now().Time(), tenant)
+}
+
+func (l *limiter) refund(tenant string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.ledger.Refund(tenant)
+}
+
+// reportSoon wakes the goroutine that reports.
+func (l *limiter) reportSoon() {
+	select {
+	case l.wake <- struct{}{}:
+	default: // one is due already
+	}
+}
--- /dev/null
+++ b/plugin/quota/coordinator.go
@@ -0,0 +1,61 @@
+package quota
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/loomcleat/loomcleat/clock"
+	"github.com/loomcleat/loomcleat/kernel"
+	"github.com/loomcleat/loomcleat/membership"
+	"github.com/loomcleat/loomcleat/quota"
+	"github.com/loomcleat/loomcleat/spread"
+	"github.com/loomcleat/loomcleat/wire"
+)
+
+// coordinator returns the process that adds up what all have counted: the first of those
+// that watch the store, whose answers prove the policy as well. One that did not answer
+// within avoidTime is passed over. false: none is known.
+func (l *limiter) coordinator(now time.Time) (membership.Member, bool) {
+	members := *l.process.Members.Load()
+	if len(members) < 2 && time.Since(l.process.Started) < joinTime {
+		return membership.Member{}, false // it will know others in a moment
+	}
+	for _, id := range spread.Watchers(kernel.LiveIDs(members), len(members)) {
+		if l.avoided[id].After(now) {
+			continue
+		}
+		for _, member := range members {
+			if member.ID == id {
+				return member, true
+			}
+		}
+	}
+	clear(l.avoided)
+	return membership.Member{}, false
+}
+
+// serveReport answers the report of another process.
+func (l *limiter) serveReport(w http.ResponseWriter, r *http.Request) {
+	var message wire.QuotaReport
+	if !kernel.ReadJSON(w, r, &message) {
+		return
+	}
+	answer := l.receive(message.Report)
+	kernel.WriteJSON(w, wire.QuotaAnswer{Answer: answer, Revisions: l.process.Documents.Revisions()})
+}
+
+// receive takes a report to this process as the coordinator.
+func (l *limiter) receive(report quota.Report) quota.Answer {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.totals.Receive(clock.Now().Time(), report)
+}
+
+// serveTenants tells operators what is known here of the quotas.
+func (l *limiter) serveTenants(w http.ResponseWriter, _ *http.Request) {
+	now := clock.Now().Time()
+	l.mutex.Lock()
+	answer := wire.Tenants{ID: l.process.ID, CutOff: l.ledger.CutOff(now), Quotas: l.ledger.States(now)}
+	l.mutex.Unlock()
+	kernel.WriteJSON(w, answer)
+}
--- a/plugin/quota/census_test.go
+++ b/plugin/quota/processes_test.go
@@ -17,13 +17,13 @@
 	oneDead := []membership.Member{alive[0], alive[1], {ID: "c", Control: "3", Status: membership.Dead}}
 	replaced := append(oneDead, membership.Member{ID: "c2", Control: "3"})
 
-	c := census{forgetAfter: 10 * time.Second, seen: map[string]time.Time{}}
+	c := newProcessCounter(10 * time.Second)
 	is.Equal(c.count(start, alive), 3)
 	is.Equal(c.count(start.Add(9*time.Second), oneDead), 3)
 	is.Equal(c.count(start.Add(11*time.Second), oneDead), 2)
 	is.Equal(c.count(start.Add(12*time.Second), replaced), 3)
 
-	c = census{seen: map[string]time.Time{}} // processes that are cut off go on
+	c = newProcessCounter(0) // processes that are cut off go on
 	is.Equal(c.count(start, alive), 3)
 	is.Equal(c.count(start.Add(time.Minute), oneDead), 3)
 	is.Equal(c.count(start.Add(time.Hour), alive[:2]), 2)
--- a/plugin/quota/setup.go
+++ b/plugin/quota/setup.go
@@ -1,7 +1,11 @@
-// Package quota holds the requests of tenants within their quotas over the whole mesh.
-// The decisions are made by package quota at the root; this package counts the requests
-// that enter here, reports them to the process that adds up what all have counted, and
-// answers the reports of others.
+// Package quota holds the requests of tenants within their quotas over the whole mesh: it
+// counts the requests that enter here, reports them to the process that adds up what all
+// have counted, and answers the reports of others when that is this one.
+//
+// It owns the counts of this process. The decisions are made by package quota at the root.
+// It relies on plugin tenant for whom a request is, on the list of members for how many
+// processes share a quota and which one coordinates, and on the policy for the quotas. Its
+// reports also carry revisions, whose answers prove how new the policy is.
 package quota
 
 import (
@@ -9,11 +13,8 @@
 	"sync"
 	"time"
 
-	"github.com/loomcleat/loomcleat/clock"
 	"github.com/loomcleat/loomcleat/kernel"
-	"github.com/loomcleat/loomcleat/membership"
 	"github.com/loomcleat/loomcleat/quota"
-	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/wire"
 )
 
@@ -21,17 +22,6 @@
 
 func init() { kernel.Register(name, kernel.StageTraffic, setup) }
 
-const (
-	// leastProcesses is the number of processes that are assumed to share a quota while
-	// this one has just started and may not know all others.
-	leastProcesses = 16
-	// joinTime is how long that is: as long as membership looks for a mesh.
-	joinTime = 5 * time.Second
-	// tickInterval is the time between two looks at what changes by time: the processes
-	// that count, and quotas that were lowered.
-	tickInterval = 500 * time.Millisecond
-)
-
 func setup(process *kernel.Process) error {
 	s := process.Settings.Quota
 	config := quota.Config{
@@ -40,26 +30,26 @@
 		Slack:     float64(s.Slack),
 		Interval:  s.Interval.Std(),
 	}
-	k := &keeper{
+	l := &limiter{
 		process: process,
 		config:  config,
 		client:  process.NewControlClient(connectionIdle),
 		ledger:  quota.NewLedger(config, rand.Uint64()),
-		pool:    quota.NewPool(config),
-		easing:  quota.NewEasing(config.Window),
+		totals:  quota.NewCoordinator(config),
+		grace:   quota.NewGracePeriod(config.Window),
 		wake:    make(chan struct{}, 1),
 		avoided: map[string]time.Time{},
-		census:  census{forgetAfter: forgetAfter(process), seen: map[string]time.Time{}},
+		counter: newProcessCounter(forgetAfter(process)),
 	}
-	k.setProcesses(leastProcesses)
-	process.UseOutbound(name, k.middleware)
-	process.OnMembers(k.countProcesses)
-	process.Loop.Every(tickInterval, k.tick)
-	process.Documents.Subscribe(wire.DocumentPolicy, k.adopt)
-	process.HandleControl("POST "+wire.PathQuota, k.serveReport)
-	process.HandleControl("GET "+wire.PathTenants, k.serveTenants)
+	l.setProcesses(processesAtStart)
+	process.UseOutbound(name, l.middleware)
+	process.OnMembers(l.countProcesses)
+	process.Loop.Every(tickInterval, l.tick)
+	process.Documents.Subscribe(wire.DocumentPolicy, l.adopt)
+	process.HandleControl("POST "+wire.PathQuota, l.serveReport)
+	process.HandleControl("GET "+wire.PathTenants, l.serveTenants)
 	if config.Interval > 0 {
-		process.OnStart(k.report)
+		process.OnStart(l.report)
 	}
 	return nil
 }
@@ -74,111 +64,24 @@
 	return revocation + process.Settings.Quota.Window.Std()
 }
 
-// keeper keeps the quotas of one process.
-type keeper struct {
+// limiter holds tenants within their quotas at one process.
+type limiter struct {
 	process *kernel.Process
 	config  quota.Config
 	client  *kernel.ControlClient
 	wake    chan struct{} // a report is due ahead of time
+
 	// Of the control loop.
-	census   census
-	easing   *quota.Easing
+	counter  processCounter
+	grace    *quota.GracePeriod
 	changing bool // quotas change by time
 
-	mutex  sync.Mutex
+	mutex  sync.Mutex // guards what follows
 	ledger *quota.Ledger
-	pool   *quota.Pool
+	totals *quota.Coordinator // used while this process is the coordinator
 
 	// Of the goroutine that reports.
-	avoided map[string]time.Time // coordinators, until when
+	avoided map[string]time.Time // coordinators that did not answer, until when
 	last    string               // coordinator that answered, "" for none
 	again   bool                 // it asked for the next report soon
 }
-
-func (k *keeper) middleware(next kernel.Handler) kernel.Handler {
-	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
-		if call.Tenant == "" {
-			return next.Handle(call)
-		}
-		decision := k.admit(call.Tenant)
-		if decision.Report {
-			k.reportSoon()
-		}
-		if !decision.Admitted {
-			return nil, result.New(result.QuotaExceeded, "tenant %s is beyond its quota, by %s", call.Tenant, decision.Basis).
-				WithRetryAfter(max(decision.RetryAfter, leastRetryAfter))
-		}
-		answer, err := next.Handle(call)
-		if err != nil && result.From(err).NotRun() {
-			k.refund(call.Tenant)
-		}
-		return answer, err
-	})
-}
-
-// leastRetryAfter is the least that a refused caller is told.
-const leastRetryAfter = 100 * time.Millisecond
-
-func (k *keeper) admit(tenant string) quota.Decision {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.ledger.Admit(clock.Now().Time(), tenant)
-}
-
-func (k *keeper) refund(tenant string) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.ledger.Refund(tenant)
-}
-
-func (k *keeper) reportSoon() {
-	select {
-	case k.wake <- struct{}{}:
-	default: // one is due already
-	}
-}
-
-// adopt puts the quotas of a new policy in force. It runs on the control loop.
-func (k *keeper) adopt(now time.Time, _ []byte) {
-	quotas := map[string]quota.Quota{}
-	for _, tenant := range k.process.Policy.Load().Tenants().List() {
-		if tenant.Quota.Bounded() {
-			quotas[tenant.Name] = quota.Quota{Rate: tenant.Quota.Rate, Burst: tenant.Quota.Burst}
-		}
-	}
-	k.easing.Set(now, quotas)
-	k.putInForce(now)
-}
-
-func (k *keeper) putInForce(now time.Time) {
-	quotas, changing := k.easing.InForce(now)
-	k.changing = changing
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.ledger.SetQuotas(now, quotas)
-	k.pool.SetQuotas(quotas)
-}
-
-// tick runs on the control loop.
-func (k *keeper) tick(now time.Time) {
-	k.countProcesses(now, *k.process.Members.Load())
-	if k.changing {
-		k.putInForce(now)
-	}
-}
-
-// countProcesses takes a new state of the mesh. It runs on the control loop.
-func (k *keeper) countProcesses(now time.Time, members []membership.Member) {
-	processes := k.census.count(now, members)
-	if time.Since(k.process.Started) < joinTime {
-		processes = max(processes, leastProcesses)
-	}
-	k.setProcesses(processes)
-}
-
-func (k *keeper) setProcesses(processes int) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.ledger.SetProcesses(processes)
-	k.pool.SetProcesses(processes)
-}
--- a/quota/config.go
+++ b/quota/config.go
@@ -31,9 +31,10 @@
 	return c.Overshoot*(quota.Rate*c.Window.Seconds()+quota.Burst) + c.Slack
 }
 
-// silentIntervals is the time without a report after which a process counts as silent, and
-// without an answer after which it takes itself for cut off, in intervals. A report that
-// fails is made again at once, elsewhere, so that none is as late while somebody answers.
+// silentIntervals is the time, in intervals, without a report after which a coordinator
+// counts a process as silent, and without an answer after which the process knows that it is
+// cut off. A report that fails is sent at once to another process, so that none is as late
+// while any process answers.
 const silentIntervals = 1.6
 
 // silence returns the time after which a process counts as silent.
--- a/quota/easing_test.go
+++ b/quota/grace_test.go
@@ -31,11 +31,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			easing := NewEasing(window)
+			grace := NewGracePeriod(window)
 			for _, change := range c.changes {
-				easing.Set(epoch.Add(change.at), map[string]Quota{"t": change.quota})
+				grace.Set(epoch.Add(change.at), map[string]Quota{"t": change.quota})
 			}
-			quotas, _ := easing.InForce(epoch.Add(c.at))
+			quotas, _ := grace.InForce(epoch.Add(c.at))
 			is.Equal(quotas["t"], c.want)
 		})
 	}
@@ -43,13 +43,13 @@
 
 func TestAQuotaThatIsDroppedIsDroppedAtOnce(t *testing.T) {
 	is := is.New(t)
-	easing := NewEasing(time.Second)
-	easing.Set(epoch, map[string]Quota{"t": {Rate: 5}})
-	easing.Set(epoch, map[string]Quota{"t": {Rate: 1}})
-	_, changing := easing.InForce(epoch)
+	grace := NewGracePeriod(time.Second)
+	grace.Set(epoch, map[string]Quota{"t": {Rate: 5}})
+	grace.Set(epoch, map[string]Quota{"t": {Rate: 1}})
+	_, changing := grace.InForce(epoch)
 	is.True(changing)
-	easing.Set(epoch, map[string]Quota{})
-	quotas, changing := easing.InForce(epoch)
+	grace.Set(epoch, map[string]Quota{})
+	quotas, changing := grace.InForce(epoch)
 	is.Equal(len(quotas), 0)
 	is.True(!changing)
 }
--- a/quota/mesh_test.go
+++ b/quota/mesh_test.go
@@ -61,18 +61,18 @@
 
 // member is one process of a play.
 type member struct {
-	ledger     *Ledger
-	pool       *Pool
-	next       time.Duration // report
-	busy       time.Duration // a report is on its way until then
-	pending    func(now time.Time)
-	skipped    map[int]time.Duration // peers that did not answer
-	gone       bool
-	still      bool
-	cutSince   time.Duration
-	isCut      bool
-	isDeaf     bool
-	leastAhead time.Duration
+	ledger      *Ledger
+	coordinator *Coordinator
+	next        time.Duration // report
+	busy        time.Duration // a report is on its way until then
+	pending     func(now time.Time)
+	skipped     map[int]time.Duration // peers that did not answer
+	gone        bool
+	still       bool
+	cutSince    time.Duration
+	isCut       bool
+	isDeaf      bool
+	leastAhead  time.Duration
 }
 
 var epoch = time.Unix(1000, 0)
@@ -82,12 +82,12 @@
 	result := outcome{admitted: map[string][]time.Duration{}, offered: map[string][]time.Duration{}}
 	members := make([]*member, p.processes)
 	start := func(i int, at time.Duration) {
-		ledger, pool := NewLedger(p.config, random.Uint64()), NewPool(p.config)
+		ledger, coordinator := NewLedger(p.config, random.Uint64()), NewCoordinator(p.config)
 		ledger.SetProcesses(p.processes)
-		pool.SetProcesses(p.processes)
+		coordinator.SetProcesses(p.processes)
 		ledger.SetQuotas(epoch.Add(at), p.tenants)
-		pool.SetQuotas(p.tenants)
-		members[i] = &member{ledger: ledger, pool: pool, skipped: map[int]time.Duration{},
+		coordinator.SetQuotas(p.tenants)
+		members[i] = &member{ledger: ledger, coordinator: coordinator, skipped: map[int]time.Duration{},
 			next: at + time.Duration(random.Int64N(int64(p.config.Interval)))}
 	}
 	for i := range members {
@@ -191,13 +191,13 @@
 		coordinator++
 	}
 	to := members[coordinator]
-	report := m.ledger.Begin(fmt.Sprint(self))
+	report := m.ledger.BeginReport(fmt.Sprint(self))
 	result.reports++
 	reaches := coordinator == self || (!to.gone && !to.still && !m.isCut && !to.isCut)
 	hears := reaches && (coordinator == self || (!m.isDeaf && !to.isDeaf))
 	var answer Answer
 	if reaches && (coordinator == self || !to.isDeaf) {
-		answer = to.pool.Receive(epoch.Add(at), report)
+		answer = to.coordinator.Receive(epoch.Add(at), report)
 	}
 	if p.measure {
 		result.bytes += encodedSize(report) + encodedSize(answer)
@@ -205,7 +205,7 @@
 	if !hears {
 		m.busy = at + answerTimeout
 		m.pending = func(time.Time) {
-			m.ledger.Failed()
+			m.ledger.ReportFailed()
 			m.skipped[coordinator] = at + time.Second
 			m.next = at + answerTimeout
 		}
@@ -215,7 +215,7 @@
 	if answer.Again {
 		m.next = at + AgainTime
 	}
-	m.pending = func(time.Time) { m.ledger.Answered(epoch.Add(at), answer) }
+	m.pending = func(time.Time) { m.ledger.ReportAnswered(epoch.Add(at), answer) }
 }
 
 const answerTimeout = 200 * time.Millisecond
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -104,14 +104,14 @@
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for name, weaken := range map[string]func(*member){
 		"a process that is not answered goes on": func(m *member) {
-			m.ledger.heard, m.ledger.failed = epoch.Add(time.Hour), false
+			m.ledger.answered, m.ledger.failed = epoch.Add(time.Hour), false
 			for _, a := range m.ledger.accounts {
 				a.unreported = 0
 			}
 		},
-		"a coordinator gives out the shares of all": func(m *member) { m.pool.SetProcesses(1) },
+		"a coordinator gives out the shares of all": func(m *member) { m.coordinator.SetProcesses(1) },
 		"an equal share is that of one process":     func(m *member) { m.ledger.SetProcesses(1) },
-		"no share is ever narrowed":                 func(m *member) { clear(m.pool.narrowed) },
+		"no tenant is ever throttled":               func(m *member) { clear(m.coordinator.throttled) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(safeguardPlays) {
@@ -225,10 +225,10 @@
 // TestALowerQuotaBinds within one window, and a higher one at once.
 func TestALowerQuotaBinds(t *testing.T) {
 	is := is.New(t)
-	ledger, pool := NewLedger(usualConfig, 1), NewPool(usualConfig)
+	ledger, coordinator := NewLedger(usualConfig, 1), NewCoordinator(usualConfig)
 	set := func(now time.Time, quota Quota) {
 		ledger.SetQuotas(now, map[string]Quota{"t": quota})
-		pool.SetQuotas(map[string]Quota{"t": quota})
+		coordinator.SetQuotas(map[string]Quota{"t": quota})
 	}
 	now := epoch
 	second := func() (admitted int) { // of 100 requests a second
@@ -239,12 +239,12 @@
 				}
 			}
 			now = now.Add(100 * time.Millisecond)
-			ledger.Answered(now, pool.Receive(now, ledger.Begin("p")))
+			ledger.ReportAnswered(now, coordinator.Receive(now, ledger.BeginReport("p")))
 		}
 		return admitted
 	}
 	set(now, Quota{Rate: 200, Burst: 200})
-	ledger.Answered(now, pool.Receive(now, ledger.Begin("p")))
+	ledger.ReportAnswered(now, coordinator.Receive(now, ledger.BeginReport("p")))
 	for range 5 {
 		is.Equal(second(), 100)
 	}
@@ -266,8 +266,8 @@
 	ledger.Refund("t")
 	ledger.Refund("t")     // more than there is
 	ledger.Refund("other") // without a quota
-	report := ledger.Begin("p")
-	is.Equal(report.Usage, []Usage{{Tenant: "t", Admitted: 0, Asked: 1}})
+	report := ledger.BeginReport("p")
+	is.Equal(report.Usage, []Usage{{Tenant: "t", Admitted: 0, Offered: 1}})
 	is.Equal(ledger.Admit(epoch, "other"), Decision{Admitted: true, Basis: Unbounded})
 }
 
@@ -290,7 +290,7 @@
 	ledger := NewLedger(usualConfig, 1)
 	ledger.SetProcesses(82)
 	ledger.SetQuotas(epoch, usualTenants)
-	ledger.Answered(epoch, Answer{})
+	ledger.ReportAnswered(epoch, Answer{})
 	b.ReportAllocs()
 	for b.Loop() {
 		ledger.Admit(epoch, "large")
--- a/quota/report.go
+++ b/quota/report.go
@@ -6,10 +6,10 @@
 type Usage struct {
 	Tenant   string `json:"t"`
 	Admitted int    `json:"a,omitempty"`
-	Asked    int    `json:"n"` // admitted and refused ones
-	// Narrowed says that the process admits only a share of the tenant's requests, as
+	Offered  int    `json:"n"` // admitted and refused ones
+	// Throttled says that the process admits only a share of the tenant's requests, as
 	// the coordinator had said: a new one must not begin with a whole burst.
-	Narrowed bool `json:"lim,omitempty"`
+	Throttled bool `json:"lim,omitempty"`
 }
 
 // Report is what a process tells the coordinator.
@@ -35,6 +35,6 @@
 	Again bool `json:"again,omitempty"`
 }
 
-// AgainTime is the time after which a report is made again that a new coordinator asked
-// for.
+// AgainTime is the time after which a process reports again to a new coordinator that asked
+// for it.
 const AgainTime = 100 * time.Millisecond
