--- a/plugin/quarantine/crashcheck.go
+++ b/plugin/quarantine/crashcheck.go
@@ -9,9 +9,9 @@
 
 	"github.com/loomcleat/loomcleat/clock"
 	"github.com/loomcleat/loomcleat/event"
-	"github.com/loomcleat/loomcleat/internal/socket"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/quarantine"
+	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
 // Bounds of the check of a back end that has lost a request.
--- a/plugin/quota/admit.go
+++ b/plugin/quota/admit.go
@@ -1,8 +1,6 @@
 package quota
 
 import (
-	"time"
-
 	"github.com/loomcleat/loomcleat/clock"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/quota"
@@ -21,7 +19,7 @@
 		}
 		if !decision.Admitted {
 			return nil, result.New(result.QuotaExceeded, "tenant %s is beyond its quota, by %s", call.Tenant, decision.Basis).
-				WithRetryAfter(max(decision.RetryAfter, leastRetryAfter))
+				WithRetryAfter(decision.RetryAfter)
 		}
 		answer, err := next.Handle(call)
 		if err != nil && result.From(err).NotRun() {
@@ -31,9 +29,6 @@
 	})
 }
 
-// leastRetryAfter is the least that a refused caller is told.
-const leastRetryAfter = 100 * time.Millisecond
-
 func (l *limiter) admit(tenant string) quota.Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
