--- a/plugin/tenant/setup.go
+++ b/plugin/tenant/setup.go
@@ -1,21 +1,16 @@
-// Package tenant finds out for whom a caller speaks, by the key that it presents, and
-// tells the back end. Where keys are required, a caller without a good one is refused.
+// Package tenant authenticates callers: it finds the tenant whose key a caller presents, and
+// passes its name to the back end. Where keys are required, a caller without a valid one is
+// refused.
 //
-// A process that cannot prove that its policy was the newest one a while ago does not
-// know which keys were taken away since. It refuses requests with keys until it does;
-// public routes and the calls of its back end go on.
+// A process that cannot prove that its policy was the newest one a moment ago does not know
+// which keys were revoked since. It refuses requests with keys until it can; public routes
+// and the calls of its back end go on.
+//
+// It owns no state. It relies on the policy for tenants and the digests of their keys, and
+// on plugin configsync for the proof.
 package tenant
 
-import (
-	"net/http"
-	"time"
-
-	"github.com/loomcleat/loomcleat/admission"
-	"github.com/loomcleat/loomcleat/clock"
-	"github.com/loomcleat/loomcleat/kernel"
-	"github.com/loomcleat/loomcleat/policy"
-	"github.com/loomcleat/loomcleat/result"
-)
+import "github.com/loomcleat/loomcleat/kernel"
 
 const name = "tenant"
 
@@ -23,98 +18,11 @@
 
 func setup(process *kernel.Process) error {
 	a := &authenticator{
-		policy: process.Policy.Load,
-		proof:  process.Documents.PolicyProof,
-		bound:  provenWithin(process.Settings.KeyRevocation.Std()),
-		tell:   process.Dialect.WriteTenant,
+		policy:          process.Policy.Load,
+		proof:           process.Documents.PolicyProof,
+		maximumProofAge: maximumProofAge(process.Settings.KeyRevocation.Std()),
+		writeTenant:     process.Dialect.WriteTenant,
 	}
 	process.UseOutbound(name, a.middleware)
 	return nil
 }
-
-// clockShare is the part of the revocation time that is kept for steady clocks that run
-// at different speeds: 1 in 50, far more than any does.
-const clockShare = 0.02
-
-// provenWithin returns the age up to which the proof of a policy is good for its keys. A
-// request counts as sent when the caller sent it, before it is looked at here, so that
-// nothing has to be left for its way.
-func provenWithin(revocation time.Duration) time.Duration {
-	return revocation - time.Duration(clockShare*float64(revocation))
-}
-
-// authenticator decides on the callers of one process.
-type authenticator struct {
-	policy func() *policy.Index
-	proof  func(now time.Time) (age time.Duration, known bool)
-	bound  time.Duration // 0: any age is good
-	tell   func(header http.Header, tenant string)
-}
-
-func (a *authenticator) middleware(next kernel.Handler) kernel.Handler {
-	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
-		if call.External || call.ParentGuessed {
-			if err := a.authenticate(call); err != nil {
-				return nil, err
-			}
-		}
-		return next.Handle(call)
-	})
-}
-
-// authenticate sets the tenant of a call, and its priority by that of the tenant. It
-// returns a result.KeyUnknown error for a caller without a good key and a
-// result.KeysUnproven error while none can be told from one that was taken away.
-func (a *authenticator) authenticate(call *kernel.Call) error {
-	// Before the policy is read: a proof that comes later may be one of a newer policy.
-	proof := a.readProof()
-	index := a.policy()
-	tenants := index.Tenants()
-	tenant := tenants.Find(call.Credential)
-	if !call.Policy.Public && tenants.Required() {
-		if !proof.holds {
-			return proof.missing(index)
-		}
-		if tenant == nil {
-			return result.New(result.KeyUnknown, "revision %d has no tenant with the key of this request, and its route is not public", index.Revision())
-		}
-	}
-	if tenant == nil {
-		return nil
-	}
-	call.Tenant = tenant.Name
-	a.tell(call.Header, tenant.Name)
-	if tenants.Ranked() {
-		call.Priority = rankedPriority(call, tenant)
-	}
-	return nil
-}
-
-func rankedPriority(call *kernel.Call, tenant *policy.Tenant) int {
-	class := call.Policy.Class
-	if tenant.Class != nil {
-		class = *tenant.Class
-	}
-	return admission.RankedPriority(int(class), int(call.Policy.Class), call.Request)
-}
-
-// proof is what is known of how new the policy is.
-type proof struct {
-	age   time.Duration
-	known bool
-	holds bool // keys may be trusted by it
-}
-
-func (a *authenticator) readProof() proof {
-	if a.bound <= 0 {
-		return proof{holds: true}
-	}
-	age, known := a.proof(clock.Now().Time())
-	return proof{age: age, known: known, holds: known && age <= a.bound}
-}
-
-// missing is the refusal of a request with a key while no proof holds.
-func (p proof) missing(index *policy.Index) error {
-	return result.New(result.KeysUnproven, "it is not known whether revision %d is still in force: last proven %s ago (ever: %t)",
-		index.Revision(), p.age.Round(time.Millisecond), p.known).WithUsualRetryAfter()
-}
--- a/plugin/tenant/tenant_test.go
+++ b/plugin/tenant/tenant_test.go
@@ -23,10 +23,10 @@
 	index := policy.NewIndex(document)
 	dialect := wire.Dialect{}
 	return &authenticator{
-		policy: func() *policy.Index { return index },
-		proof:  func(time.Time) (time.Duration, bool) { return age, age >= 0 },
-		bound:  provenWithin(revocation),
-		tell:   dialect.WriteTenant,
+		policy:          func() *policy.Index { return index },
+		proof:           func(time.Time) (time.Duration, bool) { return age, age >= 0 },
+		maximumProofAge: maximumProofAge(revocation),
+		writeTenant:     dialect.WriteTenant,
 	}
 }
 
@@ -116,10 +116,10 @@
 // after a key was taken away is never let in, since its policy was proven before that.
 func TestNoKeyOutlivesItsRevocation(t *testing.T) {
 	is := is.New(t)
-	is.True(provenWithin(revocation) < revocation)
-	is.Equal(provenWithin(0), time.Duration(0))
+	is.True(maximumProofAge(revocation) < revocation)
+	is.Equal(maximumProofAge(0), time.Duration(0))
 	open := newAuthenticator(keyedPolicy(), time.Hour)
-	open.bound = provenWithin(0) // nothing is promised of processes that are cut off
+	open.maximumProofAge = maximumProofAge(0) // nothing is promised of processes that are cut off
 	is.NoErr(open.authenticate(&kernel.Call{External: true, Credential: "secret-2", Header: http.Header{}}))
 }
 
