--- a/settings/check.go
+++ b/settings/check.go
@@ -3,7 +3,6 @@
 import (
 	"net"
 	"net/url"
-	"reflect"
 	"regexp"
 	"strconv"
 	"strings"
@@ -12,19 +11,6 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// keysOf returns the keys of a settings struct in its order.
-func keysOf[T any]() []string {
-	names := []string{}
-	structure := reflect.TypeFor[T]()
-	for i := range structure.NumField() {
-		name := structure.Field(i).Tag.Get("yaml")
-		if name != "-" {
-			names = append(names, name)
-		}
-	}
-	return names
-}
-
 var namePattern = regexp.MustCompile(`^[a-z0-9-]{1,63}$`)
 
 // checker collects the first problem of a Settings.
--- a/settings/compare.go
+++ b/settings/compare.go
@@ -9,9 +9,10 @@
 // in force at once, and those that need a restart.
 func Compare(before, after Settings) (changed, needRestart []string) {
 	changed, needRestart = []string{}, []string{}
-	old, fresh := reflect.ValueOf(before), reflect.ValueOf(after)
-	for i, key := range allKeys() {
-		if key == "-" || reflect.DeepEqual(old.Field(i).Interface(), fresh.Field(i).Interface()) {
+	valuesBefore, valuesAfter := reflect.ValueOf(before), reflect.ValueOf(after)
+	for i, key := range fieldKeys[Settings]() {
+		isEqual := reflect.DeepEqual(valuesBefore.Field(i).Interface(), valuesAfter.Field(i).Interface())
+		if key == noKey || isEqual {
 			continue
 		}
 		if reloadable[key] {
@@ -22,13 +23,3 @@
 	}
 	return changed, needRestart
 }
-
-// allKeys returns the key of each field of Settings, "-" for those without one.
-func allKeys() []string {
-	structure := reflect.TypeFor[Settings]()
-	keys := make([]string, structure.NumField())
-	for i := range keys {
-		keys[i] = structure.Field(i).Tag.Get("yaml")
-	}
-	return keys
-}
--- /dev/null
+++ b/settings/keys.go
@@ -0,0 +1,24 @@
+package settings
+
+import (
+	"reflect"
+	"slices"
+)
+
+// noKey is the tag of a field that is not in the file.
+const noKey = "-"
+
+// fieldKeys returns the key of each field of a settings struct, noKey for those without.
+func fieldKeys[T any]() []string {
+	structure := reflect.TypeFor[T]()
+	keys := make([]string, structure.NumField())
+	for i := range keys {
+		keys[i] = structure.Field(i).Tag.Get("yaml")
+	}
+	return keys
+}
+
+// keysOf returns the keys of a settings struct in its order.
+func keysOf[T any]() []string {
+	return slices.DeleteFunc(fieldKeys[T](), func(key string) bool { return key == noKey })
+}
