--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
+	"github.com/loomcleat/loomcleat/admission"
 	"github.com/loomcleat/loomcleat/balance"
-	"github.com/loomcleat/loomcleat/claims"
 	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/wire"
@@ -38,7 +38,7 @@
 			call.Budget.Repay(loan, loan) // the loan never left this process
 		}
 		if result.From(err).Code == result.DeadlineExceeded {
-			call.NotePressure(timeoutPressure)
+			call.NotePressure(admission.TimeoutPressure)
 		}
 		finish(outcomeOf(call, err))
 		return nil, err
@@ -81,33 +81,6 @@
 	return func() { timer.Stop() }
 }
 
-// outcomeOf decides whether a failed attempt speaks against the node, be it seen
-// here or told by the node.
-func outcomeOf(call *kernel.Call, err error) balance.Outcome {
-	if call.Context.Err() == context.Canceled {
-		return balance.Unknown
-	}
-	typed := result.From(err)
-	switch typed.Code {
-	case result.CallerGone, result.CallerCancelled, result.DeadlineTooShort, result.RequestQuarantined:
-		return balance.Unknown
-	case result.NodeRefused:
-		return balance.Failed
-	}
-	if typed.NotRun() {
-		return balance.Refused
-	}
-	return balance.Failed
-}
-
-// outcomeOfAnswer is the outcome of a whole answer of a back end.
-func outcomeOfAnswer(answer *kernel.Answer) balance.Outcome {
-	if answer.Failed() && !answer.Inherited {
-		return balance.Faulty
-	}
-	return balance.Answered
-}
-
 // header builds the headers of an attempt.
 func (r *router) header(call *kernel.Call, loan int) http.Header {
 	told := wire.CallContext{
@@ -121,9 +94,7 @@
 		Target:    call.Policy.TargetLatency,
 		Repeat:    call.Repeat,
 	}
-	if call.ClaimKey != (claims.Key{}) {
-		told.ClaimKey = call.ClaimKey.String()
-	}
+	r.process.WriteContext(call, &told)
 	header := call.Header.Clone()
 	delete(header, r.process.Dialect.Remaining) // the node sets it anew for its back end
 	told.Write(header)
