--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -78,3 +78,70 @@
 		}
 	}
 }
+
+var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
+
+// TestProofsExist: each test that PROOFS.md names is there.
+func TestProofsExist(t *testing.T) {
+	is := is.New(t)
+	code := &strings.Builder{}
+	is.NoErr(filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		content, err := os.ReadFile(path)
+		code.Write(content)
+		return err
+	}))
+	page, err := os.ReadFile("PROOFS.md")
+	is.NoErr(err)
+	for _, name := range testName.FindAllString(string(page), -1) {
+		if !strings.Contains(code.String(), "func "+name+"(") {
+			t.Errorf("PROOFS.md names %s, which is nowhere", name)
+		}
+	}
+}
+
+var codeName = regexp.MustCompile("`([a-z]+)((?:\\.[A-Z]\\w*)+)`")
+
+// TestTheGlossaryAgreesWithTheCode: each name in it, such as `policy.Route.Public`, stands
+// in the package that it names.
+func TestTheGlossaryAgreesWithTheCode(t *testing.T) {
+	is := is.New(t)
+	page, err := os.ReadFile("GLOSSARY.md")
+	is.NoErr(err)
+	names := codeName.FindAllStringSubmatch(string(page), -1)
+	is.True(len(names) > 0)
+	for _, name := range names {
+		code := codeOf(t, name[1])
+		for _, identifier := range strings.Split(strings.TrimPrefix(name[2], "."), ".") {
+			if !regexp.MustCompile(`\b` + identifier + `\b`).MatchString(code) {
+				t.Errorf("GLOSSARY.md names %s%s, but package %s has no %s", name[1], name[2], name[1], identifier)
+			}
+		}
+	}
+}
+
+// codeOf returns the code of a package of the product.
+func codeOf(t *testing.T, name string) string {
+	t.Helper()
+	folder := filepath.Join("..", name)
+	if _, err := os.Stat(folder); err != nil {
+		folder = filepath.Join("..", "internal", name)
+	}
+	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	code := &strings.Builder{}
+	for _, file := range files {
+		content, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !strings.HasSuffix(file, "_test.go") {
+			code.Write(content)
+		}
+	}
+	return code.String()
+}
