--- /dev/null
+++ b/policy/effective.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"net/http"
+	"time"
+)
+
+// Effective is what the tree says of one call after inheritance.
+type Effective struct {
+	Path        string `json:"path"` // the most specific entry that matched
+	Service     string `json:"service"`
+	Known       bool   `json:"known"` // the service has an entry in the tree
+	Class       Class  `json:"class"`
+	Repeatable  bool   `json:"repeatable"`
+	RetryBudget int    `json:"retry_budget"`
+	// MaximumAttempts is the number of back ends that one call may be sent to, 0
+	// when only budgets bound it. It comes from the route.
+	MaximumAttempts int           `json:"max_attempts,omitempty"`
+	RetryRatio      float64       `json:"retry_ratio"`
+	Deadline        time.Duration `json:"deadline_ns"`
+	ConcurrencyMin  int           `json:"concurrency_min"`
+	ConcurrencyMax  int           `json:"concurrency_max"`
+	QueueTime       time.Duration `json:"queue_time_ns"`
+	// TargetLatency is the time within which an answer has its full worth. It
+	// comes from the route; 0 when none is known.
+	TargetLatency time.Duration `json:"target_latency_ns,omitempty"`
+	// Public says that callers need no key. It comes from the route.
+	Public bool `json:"public,omitempty"`
+}
+
+// Defaults for keys that no entry sets. Estimates; units are those of Settings.
+const (
+	DefaultRetryBudget    = 3
+	DefaultRetryRatio     = 0.1
+	DefaultDeadline       = 10 * time.Second
+	DefaultConcurrencyMin = 2
+	DefaultConcurrencyMax = 200
+	DefaultQueueTime      = 50 * time.Millisecond
+)
+
+func valueOr[T any](value *T, fallback T) T {
+	if value == nil {
+		return fallback
+	}
+	return *value
+}
+
+func effective(path, service string, settings Settings) Effective {
+	return Effective{
+		Path:           path,
+		Service:        service,
+		Known:          true,
+		Class:          valueOr(settings.Class, Default),
+		Repeatable:     valueOr(settings.Repeatable, false),
+		RetryBudget:    valueOr(settings.RetryBudget, DefaultRetryBudget),
+		RetryRatio:     valueOr(settings.RetryRatio, DefaultRetryRatio),
+		Deadline:       time.Duration(valueOr(settings.Deadline, Duration(DefaultDeadline))),
+		ConcurrencyMin: valueOr(settings.ConcurrencyMin, DefaultConcurrencyMin),
+		ConcurrencyMax: valueOr(settings.ConcurrencyMax, DefaultConcurrencyMax),
+		QueueTime:      time.Duration(valueOr(settings.QueueTime, Duration(DefaultQueueTime))),
+	}
+}
+
+// repeatable returns what is set, or whether the method is safe where nothing is.
+func repeatable(set *bool, method string) bool {
+	if set != nil {
+		return *set
+	}
+	switch method {
+	case http.MethodGet, http.MethodHead, http.MethodOptions:
+		return true
+	default:
+		return false
+	}
+}
+
+// Value is one key of an Effective as text.
+type Value struct {
+	Key   string
+	Value string
+}
+
+// Values returns the keys of e as text, in the order of FieldNames.
+func (e Effective) Values() []Value {
+	deadline, queueTime := Duration(e.Deadline), Duration(e.QueueTime)
+	all := Settings{
+		Class:          &e.Class,
+		Repeatable:     &e.Repeatable,
+		RetryBudget:    &e.RetryBudget,
+		RetryRatio:     &e.RetryRatio,
+		Deadline:       &deadline,
+		ConcurrencyMin: &e.ConcurrencyMin,
+		ConcurrencyMax: &e.ConcurrencyMax,
+		QueueTime:      &queueTime,
+	}
+	values := make([]Value, 0, len(fields))
+	for _, f := range fields {
+		text, _ := f.show(&all)
+		values = append(values, Value{Key: f.name, Value: text})
+	}
+	return values
+}
