--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -23,8 +23,8 @@
 // tenantUse is what all processes that answered know of one tenant.
 type tenantUse struct {
 	quota.State
-	// Narrowed is the number of processes that admit only a share of its requests.
-	Narrowed int `json:"narrowed"`
+	// Throttled is the number of processes that admit only a share of its requests.
+	Throttled int `json:"narrowed"`
 }
 
 // meshTenants is the use of all quotas.
@@ -47,7 +47,7 @@
 	table := tabwriter.NewWriter(output.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "TENANT\tRATE/S\tBURST\tADMITTED\tREFUSED\tNARROWED AT\tADMIT")
 	for _, t := range found.Tenants {
-		fmt.Fprintf(table, "%s\t%g\t%g\t%d\t%d\t%d\t%.2f\n", t.Tenant, t.Rate, t.Burst, t.Admitted, t.Refused, t.Narrowed, t.Admit)
+		fmt.Fprintf(table, "%s\t%g\t%g\t%d\t%d\t%d\t%.2f\n", t.Tenant, t.Rate, t.Burst, t.Admitted, t.Refused, t.Throttled, t.Admit)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -122,6 +122,6 @@
 	use.Refused += state.Refused
 	use.Admit = min(use.Admit, state.Admit)
 	if state.Admit < 1 {
-		use.Narrowed++
+		use.Throttled++
 	}
 }
--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -27,7 +27,7 @@
 	is.Equal(found.CutOff, 1)
 	is.Equal(found.Silent, 1) // one that is dead is not expected to answer
 	is.Equal(found.Tenants, []tenantUse{
-		{State: state("large", 50, 5, 0.25), Narrowed: 2},
+		{State: state("large", 50, 5, 0.25), Throttled: 2},
 		{State: state("small", 3, 0, 1)},
 	})
 }
