--- a/kernel/advice.go
+++ b/kernel/advice.go
@@ -16,7 +16,7 @@
 		return &advised
 	}
 	advised.FractionalRetryAfter = p.Dialect.FractionalRetryAfter
-	if advised.Code.IsOverload() {
+	if advised.Code.Conclusion().Overload {
 		advised.WithRetryAfter(result.SpreadWait(call.RoomAfter, rand.Float64()))
 	}
 	return &advised
--- a/result/conclusion.go
+++ b/result/conclusion.go
@@ -12,6 +12,9 @@
 	// ByBackEnd says that the back end itself refused. The attempt arrived there, so that
 	// it counts as one in the budgets that bound arrivals.
 	ByBackEnd bool
+	// Overload says that the request was refused for lack of room, so that the gate of
+	// its route tells when there may be room again.
+	Overload bool
 	// BackEndFault says that the back end failed by itself: its answer was lost or is none.
 	BackEndFault bool
 	// Node is what the attempt says about the node that it went to.
@@ -48,7 +51,8 @@
 
 // conclusions holds the codes whose Conclusion is not the zero value.
 var conclusions = map[Code]Conclusion{
-	Overloaded:         {Next: OtherNode},
+	Overloaded:         {Next: OtherNode, Overload: true},
+	ShedEarly:          {Overload: true},
 	DeadlineTooShort:   {Next: FasterNode, Node: NoEvidence},
 	Draining:           {Next: OtherNode, Absent: true},
 	NoNode:             {Absent: true},
@@ -57,7 +61,7 @@
 	NotReady:           {Next: OtherNode, Absent: true},
 	CallerGone:         {Node: NoEvidence},
 	NodeRefused:        {Next: OtherNode, Absent: true, Node: NodeFailed},
-	BackendRefused:     {Next: OtherNode, ByBackEnd: true},
+	BackendRefused:     {Next: OtherNode, ByBackEnd: true, Overload: true},
 	BackendLeft:        {Next: OtherNode, Absent: true},
 	RequestQuarantined: {Node: NoEvidence},
 	DeadlineExceeded:   {Next: Unclear},
--- a/result/retryafter.go
+++ b/result/retryafter.go
@@ -6,7 +6,7 @@
 // the result code. Where it also depends on the moment, whoever refuses the request
 // passes in what it has computed:
 //
-//   - overload: when the gate of the route admits everything again
+//   - overload (Conclusion.Overload): when the gate of the route admits everything again
 //     (admission.Gate.Reopens, spread by SpreadWait)
 //   - QuotaExceeded: when the tenant's bucket has a token again (quota.Decision)
 //   - RequestQuarantined: when the quarantine of the request ends (quarantine.Ledger)
@@ -65,17 +65,6 @@
 	return max(computed, row.least)
 }
 
-// IsOverload reports whether a code refuses a request for lack of room, so that the
-// state of the route's gate tells when there may be room again.
-func (c Code) IsOverload() bool {
-	switch c {
-	case ShedEarly, Overloaded, BackendRefused:
-		return true
-	default:
-		return false
-	}
-}
-
 // waitSpread is the largest part of a wait that is added to it at random, so that callers
 // that were refused together do not come back together.
 const waitSpread = 0.5
