--- /dev/null
+++ b/membership/config.go
@@ -0,0 +1,96 @@
+package membership
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"time"
+)
+
+// Config configures a Machine.
+type Config struct {
+	// Self is the record of this process. ID, Control and Generation are required.
+	Self Member
+
+	// ProbeInterval is the time between probes. Shorter finds failures sooner
+	// and costs more messages. Default 1s.
+	ProbeInterval time.Duration
+
+	// ProbeTimeout is how long the caller waits for an answer to a message.
+	// Longer tolerates slow members, shorter finds failures sooner. Default
+	// half the probe interval.
+	ProbeTimeout time.Duration
+
+	// IndirectProbes is the number of members asked to repeat a failed probe.
+	// More tolerates more broken paths. Default 3.
+	IndirectProbes int
+
+	// SuspicionIntervals is the number of probe intervals, times the decimal
+	// logarithm of the mesh size (at least 1), for which a suspect may
+	// contradict. Longer removes fewer healthy members, shorter finds failures
+	// sooner. Default 3.
+	SuspicionIntervals float64
+
+	// GossipInterval is the time between gossip messages while there are
+	// updates to spread. Default a fifth of the probe interval.
+	GossipInterval time.Duration
+
+	// GossipFanout is the number of members that each round of gossip goes to.
+	// Default 3.
+	GossipFanout int
+
+	// MaximumUpdates bounds the updates on one message, except those of Sync. News
+	// that comes with more others is not passed on by gossip, since whoever lacks
+	// it finds out by comparing lists. Default 16.
+	MaximumUpdates int
+
+	// SyncInterval is the least time between two comparisons of lists with members
+	// whose digest differs. Shorter spreads many changes sooner, longer sends
+	// fewer bytes while members come and go. Default the probe interval.
+	SyncInterval time.Duration
+
+	// ForgetAfter is how long dead members are remembered and probed. Default 1h.
+	ForgetAfter time.Duration
+
+	// JoinTime is how long after its start a process compares lists with
+	// addresses that it was given and knows nobody at, in each GossipInterval.
+	// Longer finds more of a mesh that starts slowly, shorter sends fewer
+	// messages to addresses where nobody is. Default 5s.
+	JoinTime time.Duration
+	// JoinFanout is the number of such addresses that are tried at once. Default 3.
+	JoinFanout int
+
+	// Random is the source of random choices. Required.
+	Random *rand.Rand
+
+	// OnChange is called for each change of a member's record. May be nil.
+	OnChange func(before, after Member)
+}
+
+// Defaults of a Config that are not a part of another of its times.
+const (
+	defaultProbeInterval      = time.Second
+	defaultIndirectProbes     = 3
+	defaultSuspicionIntervals = 3
+	defaultGossipFanout       = 3
+	defaultMaximumUpdates     = 16
+	defaultForgetAfter        = time.Hour
+	defaultJoinTime           = 5 * time.Second
+	defaultJoinFanout         = 3
+)
+
+func (c *Config) setDefaults() {
+	c.ProbeInterval = cmp.Or(c.ProbeInterval, defaultProbeInterval)
+	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, c.ProbeInterval/2)
+	c.IndirectProbes = cmp.Or(c.IndirectProbes, defaultIndirectProbes)
+	c.SuspicionIntervals = cmp.Or(c.SuspicionIntervals, defaultSuspicionIntervals)
+	c.GossipInterval = cmp.Or(c.GossipInterval, c.ProbeInterval/5)
+	c.GossipFanout = cmp.Or(c.GossipFanout, defaultGossipFanout)
+	c.MaximumUpdates = cmp.Or(c.MaximumUpdates, defaultMaximumUpdates)
+	c.SyncInterval = cmp.Or(c.SyncInterval, c.ProbeInterval)
+	c.ForgetAfter = cmp.Or(c.ForgetAfter, defaultForgetAfter)
+	c.JoinTime = cmp.Or(c.JoinTime, defaultJoinTime)
+	c.JoinFanout = cmp.Or(c.JoinFanout, defaultJoinFanout)
+	if c.OnChange == nil {
+		c.OnChange = func(Member, Member) {}
+	}
+}
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"strconv"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -22,6 +23,22 @@
 // toggle adds a record, or takes it out again.
 func (d *digests) toggle(member Member) { d[bucketOf(member.ID)] ^= uint32(hashMember(member)) }
 
+// hashMember is the share of one record in the digest of a list. Who suspects
+// a member does not count, since it differs between processes, nor do dead members,
+// which some processes have forgotten or never knew.
+func hashMember(member Member) uint64 {
+	if member.Status == Dead {
+		return 0
+	}
+	var buffer [128]byte
+	text := append(buffer[:0], member.ID...)
+	text = append(text, ' ')
+	text = strconv.AppendUint(text, member.Version, 10)
+	text = append(text, ' ')
+	text = strconv.AppendInt(text, int64(member.Status), 10)
+	return xxhash.Sum64(text)
+}
+
 // pack returns the digests as they are sent.
 func (d *digests) pack() []byte {
 	packed := make([]byte, 0, bucketCount*bucketSize)
--- a/membership/digest_test.go
+++ b/membership/digest_test.go
@@ -81,11 +81,11 @@
 func TestMuchNewsAtOnceIsNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
-	before := len(m.rumours.items)
+	before := len(m.updates.items)
 	news(m, crowd(300)...)
-	is.Equal(len(m.rumours.items), before+1) // the sender's own record
+	is.Equal(len(m.updates.items), before+1) // the sender's own record
 	news(m, Member{ID: "one", Control: "one:1", Generation: 1, Version: 1})
-	is.Equal(len(m.rumours.items), before+2)
+	is.Equal(len(m.updates.items), before+2)
 }
 
 // TestForgottenMembersLeaveNothingBehind.
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -29,8 +29,9 @@
 // because docs/design/membership.md shows what it brings: a suspected member is
 // told so when it sends a message.
 //
-// Machine is a state machine without I/O, goroutines or clock. The caller
-// passes the time and the messages in, and sends what Tick returns:
+// The package owns the list of one process, in memory. Machine is a state machine without
+// I/O, goroutines or clock: plugin/membership passes the time and the messages in, and sends
+// what Tick returns:
 //
 //	for each tick:       sends := machine.Tick(now)
 //	for each request:    reply := machine.Receive(now, message)
--- /dev/null
+++ b/membership/join.go
@@ -0,0 +1,50 @@
+package membership
+
+// unknownAddressOdds is the share of probe rounds, one in this many, in which a
+// process that has peers looks for lost parts of the mesh.
+const unknownAddressOdds = 5
+
+// unknownAddress returns a seed or the address of a dead member to try, or "".
+func (m *Machine) unknownAddress() string {
+	candidates, alone := m.unknownAddresses()
+	if !alone && m.config.Random.IntN(unknownAddressOdds) != 0 {
+		return ""
+	}
+	if len(candidates) == 0 {
+		return ""
+	}
+	return candidates[m.config.Random.IntN(len(candidates))]
+}
+
+// join compares lists with a few of the addresses where nobody is known.
+func (m *Machine) join(sends []Send) []Send {
+	candidates, _ := m.unknownAddresses()
+	for range min(m.config.JoinFanout, len(candidates)) {
+		pick := m.config.Random.IntN(len(candidates))
+		sends = append(sends, m.send(candidates[pick], Sync, nil))
+		candidates = append(candidates[:pick], candidates[pick+1:]...)
+	}
+	return sends
+}
+
+// unknownAddresses returns the seeds and the addresses of dead members where
+// nobody is known to be alive, and whether nobody is known at all.
+func (m *Machine) unknownAddresses() (candidates []string, alone bool) {
+	live := map[string]bool{m.self.Control: true}
+	for _, member := range m.Members() {
+		if member.Status != Dead {
+			live[member.Control] = true
+		}
+	}
+	for _, seed := range m.seeds {
+		if !live[seed] {
+			candidates = append(candidates, seed)
+		}
+	}
+	for _, member := range m.Members() {
+		if member.Status == Dead && !live[member.Control] {
+			candidates = append(candidates, member.Control)
+		}
+	}
+	return candidates, len(live) == 1
+}
--- a/membership/protocol.go
+++ b/membership/protocol.go
@@ -1,8 +1,6 @@
 package membership
 
-import (
-	"time"
-)
+import "time"
 
 // Tick does what is due at the given time and returns the messages to send. It
 // should be called a few times in each GossipInterval.
@@ -13,8 +11,8 @@
 		m.nextProbe = now.Add(m.config.ProbeInterval)
 		sends = m.startProbe(now, sends)
 	}
-	if !now.Before(m.nextTalk) {
-		m.nextTalk = now.Add(m.config.GossipInterval)
+	if !now.Before(m.nextGossip) {
+		m.nextGossip = now.Add(m.config.GossipInterval)
 		sends = m.gossip(now, sends)
 		if now.Sub(m.started) < m.config.JoinTime {
 			sends = m.join(sends)
@@ -37,105 +35,15 @@
 	}
 }
 
-// startProbe probes the next member, and sometimes an address where part of
-// the mesh may be that this process does not know.
-func (m *Machine) startProbe(now time.Time, sends []Send) []Send {
-	if target := m.nextTarget(); target != nil {
-		started := &probe{target: target.ID}
-		sends = append(sends, m.send(target.Control, Ping, started))
-	}
-	if address := m.unknownAddress(); address != "" {
-		sends = append(sends, m.send(address, Sync, nil))
-	}
-	return sends
-}
-
-// nextTarget returns the next live member of the shuffled round.
-func (m *Machine) nextTarget() *record {
-	for range 2 {
-		for len(m.order) > 0 {
-			id := m.order[len(m.order)-1]
-			m.order = m.order[:len(m.order)-1]
-			if known, exists := m.members[id]; exists && known.Status != Dead {
-				return known
-			}
-		}
-		m.order = m.liveIDs()
-		m.config.Random.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
-	}
-	return nil
-}
-
-// liveIDs returns the ids of live members in order, so that a shuffle with a
-// seeded source is repeatable.
-func (m *Machine) liveIDs() []string {
-	ids := make([]string, 0, len(m.members))
-	for _, member := range m.Members() {
-		if member.ID != m.self.ID && member.Status != Dead {
-			ids = append(ids, member.ID)
-		}
-	}
-	return ids
-}
-
-// unknownAddressOdds is the share of probe rounds, one in this many, in which a
-// process that has peers looks for lost parts of the mesh.
-const unknownAddressOdds = 5
-
-// unknownAddress returns a seed or the address of a dead member to try, or "".
-func (m *Machine) unknownAddress() string {
-	candidates, alone := m.unknownAddresses()
-	if !alone && m.config.Random.IntN(unknownAddressOdds) != 0 {
-		return ""
-	}
-	if len(candidates) == 0 {
-		return ""
-	}
-	return candidates[m.config.Random.IntN(len(candidates))]
-}
-
-// join compares lists with a few of the addresses where nobody is known.
-func (m *Machine) join(sends []Send) []Send {
-	candidates, _ := m.unknownAddresses()
-	for range min(m.config.JoinFanout, len(candidates)) {
-		pick := m.config.Random.IntN(len(candidates))
-		sends = append(sends, m.send(candidates[pick], Sync, nil))
-		candidates = append(candidates[:pick], candidates[pick+1:]...)
-	}
-	return sends
-}
-
-// unknownAddresses returns the seeds and the addresses of dead members where
-// nobody is known to be alive, and whether nobody is known at all.
-func (m *Machine) unknownAddresses() (candidates []string, alone bool) {
-	live := map[string]bool{m.self.Control: true}
-	for _, member := range m.Members() {
-		if member.Status != Dead {
-			live[member.Control] = true
-		}
-	}
-	for _, seed := range m.seeds {
-		if !live[seed] {
-			candidates = append(candidates, seed)
-		}
-	}
-	for _, member := range m.Members() {
-		if member.Status == Dead && !live[member.Control] {
-			candidates = append(candidates, member.Control)
-		}
-	}
-	return candidates, len(live) == 1
-}
-
 // gossip sends updates to a few random members while there are any.
 func (m *Machine) gossip(now time.Time, sends []Send) []Send {
-	if len(m.rumours.items) == 0 && m.rounds == 0 {
+	if len(m.updates.items) == 0 && m.rounds == 0 {
 		return sends
 	}
 	m.rounds = max(m.rounds-1, 0)
 	ids := m.liveIDs()
 	if len(ids) == 0 {
-		m.rumours.items = nil // nobody to tell; joining compares lists
+		m.updates.items = nil // nobody to tell; joining compares lists
 		return sends
 	}
 	for range min(m.config.GossipFanout, len(ids)) {
@@ -157,7 +65,7 @@
 	if kind == Sync {
 		built.Buckets = m.digests.pack()
 	} else {
-		built.Updates = m.rumours.take(m.config.MaximumUpdates, spreadRounds(m.size()))
+		built.Updates = m.updates.take(m.config.MaximumUpdates, spreadRounds(m.size()))
 	}
 	return built
 }
@@ -229,20 +137,11 @@
 	return nil
 }
 
-func (m *Machine) probeAnswered(now time.Time, sent Send, reply Message) {
-	if sent.Message.Kind == Ping || reply.OK {
-		sent.probe.done = true
-		return
-	}
-	sent.probe.pending--
-	m.giveUp(now, sent.probe)
-}
-
 // learn merges a message.
 func (m *Machine) learn(now time.Time, message Message) {
 	m.apply(now, message.From)
-	m.quiet = len(message.Updates) > m.config.MaximumUpdates
-	defer func() { m.quiet = false }()
+	m.inBulk = len(message.Updates) > m.config.MaximumUpdates
+	defer func() { m.inBulk = false }()
 	for _, update := range message.Updates {
 		m.apply(now, update)
 	}
@@ -262,46 +161,3 @@
 	m.giveUp(now, current)
 	return nil
 }
-
-// giveUp suspects the target once the direct probe and all indirect ones have
-// failed.
-func (m *Machine) giveUp(now time.Time, current *probe) {
-	if current.done || !current.direct || current.pending > 0 {
-		return
-	}
-	current.done = true
-	known, exists := m.members[current.target]
-	if !exists || known.Status != Alive {
-		return
-	}
-	suspected := known.Member
-	suspected.Status = Suspect
-	suspected.Accuser = m.self.ID
-	m.replace(now, known, suspected)
-}
-
-// probeThroughOthers asks other members to repeat a failed probe.
-func (m *Machine) probeThroughOthers(now time.Time, current *probe) []Send {
-	current.direct = true
-	target, exists := m.members[current.target]
-	if !exists || target.Status == Dead {
-		return nil
-	}
-	sends := []Send{}
-	ids := m.liveIDs()
-	m.config.Random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	for _, id := range ids {
-		if len(sends) == m.config.IndirectProbes {
-			break
-		}
-		if id == current.target {
-			continue
-		}
-		through := m.send(m.members[id].Control, PingThrough, current)
-		through.Message.Target = target.Control
-		sends = append(sends, through)
-	}
-	current.pending = len(sends)
-	m.giveUp(now, current)
-	return sends
-}
