--- a/membership/config.go
+++ b/membership/config.go
@@ -66,6 +66,9 @@
 	OnChange func(before, after Member)
 }
 
+// GossipsPerProbe is the number of gossip intervals in a probe interval by default.
+const GossipsPerProbe = 5
+
 // Defaults of a Config that are not a part of another of its times.
 const (
 	defaultProbeInterval      = time.Second
@@ -83,7 +86,7 @@
 	c.ProbeTimeout = cmp.Or(c.ProbeTimeout, c.ProbeInterval/2)
 	c.IndirectProbes = cmp.Or(c.IndirectProbes, defaultIndirectProbes)
 	c.SuspicionIntervals = cmp.Or(c.SuspicionIntervals, defaultSuspicionIntervals)
-	c.GossipInterval = cmp.Or(c.GossipInterval, c.ProbeInterval/5)
+	c.GossipInterval = cmp.Or(c.GossipInterval, c.ProbeInterval/GossipsPerProbe)
 	c.GossipFanout = cmp.Or(c.GossipFanout, defaultGossipFanout)
 	c.MaximumUpdates = cmp.Or(c.MaximumUpdates, defaultMaximumUpdates)
 	c.SyncInterval = cmp.Or(c.SyncInterval, c.ProbeInterval)
--- /dev/null
+++ b/plugin/membership/log.go
@@ -0,0 +1,46 @@
+package membership
+
+import (
+	"slices"
+
+	"github.com/loomcleat/loomcleat/event"
+	"github.com/loomcleat/loomcleat/membership"
+)
+
+// noteSilence logs once that an address at which part of the mesh may be does not
+// answer. It runs on the control loop.
+func (m *mesh) noteSilence(send membership.Send, err error) {
+	if err == nil {
+		if m.silent[send.To] {
+			m.process.Log.Emit(event.PeerRegained, "address", send.To)
+		}
+		delete(m.silent, send.To)
+		return
+	}
+	if send.Message.Kind != membership.Sync || m.silent[send.To] {
+		return
+	}
+	m.silent[send.To] = true
+	m.process.Log.Emit(event.PeerUnreachable, "address", send.To, "error", err)
+}
+
+// logChange logs news of a member. It runs on the control loop.
+func (m *mesh) logChange(before, after membership.Member) {
+	switch {
+	case after.ID == m.process.ID:
+		announced := after.Leaving != before.Leaving || after.Down != before.Down || !slices.Equal(after.Places, before.Places)
+		if !announced {
+			m.process.Log.Emit(event.SelfRefuted, "incarnation", after.Version)
+		}
+	case before.ID == "":
+		m.process.Log.Emit(event.MemberJoined, "member", after.ID, "service", after.Service, "zone", after.Zone)
+	case after.Status == membership.Dead && before.Status != membership.Dead:
+		m.process.Log.Emit(event.MemberDead, "member", after.ID)
+	case after.Status == membership.Suspect && before.Status == membership.Alive:
+		m.process.Log.Emit(event.MemberSuspected, "member", after.ID, "by", after.Accuser)
+	case after.Status == membership.Alive && before.Status != membership.Alive:
+		m.process.Log.Emit(event.MemberRecovered, "member", after.ID)
+	case after.Leaving && !before.Leaving:
+		m.process.Log.Emit(event.MemberLeaving, "member", after.ID)
+	}
+}
--- a/plugin/membership/machines.go
+++ b/plugin/membership/machines.go
@@ -15,12 +15,14 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Polling of the machine list. Only a few processes poll, the others hear of
-// members by gossip.
+// Polling of the machine list.
 const (
-	pollInterval   = 2 * time.Second
-	machineWatches = 3
-	// At its start a process looks more often, for others that start as well.
+	// pollers is the number of processes that poll. The others hear of members by gossip.
+	pollers = 3
+	// pollInterval is the mean time between two polls.
+	pollInterval = 2 * time.Second
+	// earlyPolls is the number of polls after the start that are earlyInterval apart, to
+	// find others that start as well.
 	earlyPolls    = 4
 	earlyInterval = 400 * time.Millisecond
 )
@@ -62,9 +64,10 @@
 
 // watches reports whether this process is one of those that poll.
 func (m *mesh) watches() bool {
-	return spread.Watches(m.process.ID, kernel.LiveIDs(*m.process.Members.Load()), machineWatches)
+	return spread.Watches(m.process.ID, kernel.LiveIDs(*m.process.Members.Load()), pollers)
 }
 
+// use takes a reading of the machine list.
 func (m *mesh) use(ctx context.Context, machines []store.Machine) {
 	m.process.MachineState.Store(&kernel.MachineState{At: clock.Now(), Machines: machines})
 	seeds := append([]string{}, m.process.Settings.Seeds...)
@@ -79,9 +82,24 @@
 	m.process.Loop.Post(func(time.Time) { m.machine.SetSeeds(seeds) })
 	for _, member := range *m.process.Members.Load() {
 		if leaving[member.Control] && !member.Leaving && member.Status != membership.Dead {
-			tell, cancel := context.WithTimeout(ctx, m.timeout)
-			_ = m.process.Control.Invoke(tell, member.Control, http.MethodPost, wire.PathLeave, &wire.Leave{}, &wire.Empty{})
-			cancel()
+			m.requestLeave(ctx, member.Control)
 		}
 	}
 }
+
+// requestLeave tells a member that the machine list shows its machine as leaving. The error
+// is dropped: until the member says that it leaves, the next reading tells it again.
+func (m *mesh) requestLeave(ctx context.Context, control string) {
+	ctx, cancel := context.WithTimeout(ctx, m.timeout)
+	defer cancel()
+	_ = m.process.Control.Invoke(ctx, control, http.MethodPost, wire.PathLeave, &wire.Leave{}, &wire.Empty{})
+}
+
+// serveLeave handles the news that the machine list shows this machine as
+// leaving: the process takes no new calls, but does not stop by itself.
+func (m *mesh) serveLeave(w http.ResponseWriter, r *http.Request) {
+	// It fails when the sender has gone or this process ends. The sender tells again at its
+	// next reading of the machine list, until this process says that it leaves.
+	_ = m.process.Loop.Do(r.Context(), func(time.Time) { m.machine.SetState(true, false) })
+	kernel.WriteJSON(w, wire.Empty{})
+}
