--- a/kernel/inbound.go
+++ b/kernel/inbound.go
@@ -29,8 +29,8 @@
 		Leaving:   p.Announced(),
 		Replayed:  answer != nil && answer.Replayed,
 	}
-	if p.occupancy != nil {
-		own := p.occupancy(time.Now())
+	if p.hooks.occupancy != nil {
+		own := p.hooks.occupancy(time.Now())
 		report.Level = max(report.Level, own.Level)
 		report.LoadKnown, report.Load = true, own.Load
 		report.Faults = own.Faults
@@ -67,7 +67,7 @@
 		RequestID: call.RequestID,
 		Repeat:    call.Repeat,
 	}
-	for _, read := range p.onReadContext {
+	for _, read := range p.hooks.readContext {
 		if err := read(call, &told); err != nil {
 			return nil, err
 		}
--- a/kernel/lifecycle.go
+++ b/kernel/lifecycle.go
@@ -21,7 +21,7 @@
 	go p.Loop.run(p.context)
 	go p.waitReady()
 	go p.watchSuspensions(p.context)
-	for _, run := range p.onStart {
+	for _, run := range p.hooks.start {
 		go run(p.context)
 	}
 	select {
@@ -60,7 +60,7 @@
 }
 
 func (p *Process) conditionsHold() bool {
-	for _, condition := range p.readiness {
+	for _, condition := range p.hooks.readiness {
 		if !condition() {
 			return false
 		}
@@ -119,7 +119,7 @@
 	hooks, cancel := context.WithTimeout(ctx, max(drainHookTimeout, announce))
 	defer cancel()
 	var group sync.WaitGroup
-	for _, run := range p.onDrain {
+	for _, run := range p.hooks.drain {
 		group.Go(func() { run(hooks) })
 	}
 	select {
--- a/kernel/servers.go
+++ b/kernel/servers.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"encoding/json"
 	"net"
 	"net/http"
 	"net/url"
 	"time"
 
 	kratoshttp "github.com/go-kratos/kratos/v2/transport/http"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"github.com/loomcleat/loomcleat/result"
 )
@@ -100,86 +98,3 @@
 		_ = server.Close()
 	}
 }
-
-// adminRoutes are metrics and probes.
-func (p *Process) adminRoutes() http.Handler {
-	routes := http.NewServeMux()
-	routes.Handle("GET /metrics", promhttp.HandlerFor(p.Metrics, promhttp.HandlerOpts{}))
-	routes.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write([]byte("ok\n"))
-	})
-	routes.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !p.Ready() || p.Leaving() {
-			http.Error(w, "not ready", http.StatusServiceUnavailable)
-			return
-		}
-		_, _ = w.Write([]byte("ok\n"))
-	})
-	routes.HandleFunc("GET /status", p.serveStatus)
-	return routes
-}
-
-func (p *Process) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	WriteJSON(w, p.Status())
-}
-
-// WriteJSON answers a control request.
-func WriteJSON(w http.ResponseWriter, value any) {
-	data, err := json.Marshal(value)
-	if err != nil {
-		result.Wrap(result.Internal, err, "encoding an answer").WriteHTTP(w)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(data)
-}
-
-// maximumControlBody bounds control messages, in bytes. The largest are claims
-// that are handed over.
-const maximumControlBody = 64 << 20
-
-// ReadJSON reads a control request and answers it when it is malformed. It
-// reports whether the request was read.
-func ReadJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumControlBody))
-	if err := decoder.Decode(into); err != nil {
-		result.Wrap(result.BadRequest, err, "the control message is not understood").WriteHTTP(w)
-		return false
-	}
-	return true
-}
-
-// countingListener counts the bytes of control messages.
-type countingListener struct {
-	net.Listener
-	counters *Counters
-}
-
-// Accept implements net.Listener.
-func (l countingListener) Accept() (net.Conn, error) {
-	conn, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return controlConn{Conn: conn, counters: l.counters}, nil
-}
-
-// controlConn is a connection whose bytes are counted.
-type controlConn struct {
-	net.Conn
-	counters *Counters
-}
-
-// Read implements net.Conn.
-func (c controlConn) Read(data []byte) (int, error) {
-	n, err := c.Conn.Read(data)
-	c.counters.ControlReceived.Add(int64(n))
-	return n, err
-}
-
-// Write implements net.Conn.
-func (c controlConn) Write(data []byte) (int, error) {
-	n, err := c.Conn.Write(data)
-	c.counters.ControlSent.Add(int64(n))
-	return n, err
-}
