--- a/kernel/call.go
+++ b/kernel/call.go
@@ -38,8 +38,6 @@
 	Tenant string
 	// Repeat says that this attempt, or a request above it, is a repeated one.
 	Repeat bool
-	// Arrivals is the number of attempts that may have arrived at a back end.
-	Arrivals int
 	// Tried lists the nodes that earlier attempts went to.
 	Tried []string
 	// Attempt identifies this attempt of the call.
@@ -82,9 +80,9 @@
 	// RoomAfter is the time after which a call like this one may find room if it is
 	// refused, 0 when nothing is known. Set by the plug-in that admits routes.
 	RoomAfter time.Duration
-	// ReleasePlace gives back the place beside the back end early. Set by the
+	// ReleaseSlot gives back the slot of the back end early. Set by the
 	// admission plug-in, nil before it.
-	ReleasePlace func()
+	ReleaseSlot func()
 }
 
 // NotePressure records the pressure that an attempt of a call to another process met,
