--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -81,7 +81,8 @@
 
 var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
 
-// TestNamedTestsExist: each test that a page names is there, except on pages about the past.
+// TestNamedTestsExist: each test that a page names is there. Pages about the past keep the
+// names of their time.
 func TestNamedTestsExist(t *testing.T) {
 	is := is.New(t)
 	code := &strings.Builder{}
@@ -100,6 +101,7 @@
 		is.NoErr(err)
 		pages = append(pages, found...)
 	}
+	pages = slices.DeleteFunc(pages, func(page string) bool { return page == "FINDINGS.md" })
 	for _, page := range pages {
 		content, err := os.ReadFile(page)
 		is.NoErr(err)
