--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -22,12 +22,12 @@
 		nil,
 		nil,
 	}
-	found := addUp(members, answers)
+	found := sumOf(members, answers)
 	is.Equal(found.Answered, 2)
 	is.Equal(found.CutOff, 1)
 	is.Equal(found.Silent, 1) // one that is dead is not expected to answer
 	is.Equal(found.Tenants, []tenantUse{
-		{State: state("large", 50, 5, 0.25), Narrowed: 2},
+		{State: state("large", 50, 5, 0.25), Throttled: 2},
 		{State: state("small", 3, 0, 1)},
 	})
 }
--- a/kernel/lifecycle.go
+++ b/kernel/lifecycle.go
@@ -21,7 +21,7 @@
 	go p.Loop.run(p.context)
 	go p.waitReady()
 	go p.watchSuspensions(p.context)
-	for _, run := range p.onStart {
+	for _, run := range p.hooks.start {
 		go run(p.context)
 	}
 	select {
@@ -60,7 +60,7 @@
 }
 
 func (p *Process) conditionsHold() bool {
-	for _, condition := range p.readiness {
+	for _, condition := range p.hooks.readiness {
 		if !condition() {
 			return false
 		}
@@ -101,7 +101,8 @@
 // end, which stays, would stand idle for seconds at each restart.
 const peerNotice = time.Second
 
-// announce tells the peers that the process leaves.
+// announce tells the peers that the process leaves. It fails only when the time to stop
+// has run out: then the process ends at once, and the peers notice its silence.
 func (p *Process) announce(ctx context.Context) {
 	p.announced.Store(true)
 	_ = p.Loop.Do(ctx, func(time.Time) { p.Mesh.SetState(true, false) })
@@ -118,7 +119,7 @@
 	hooks, cancel := context.WithTimeout(ctx, max(drainHookTimeout, announce))
 	defer cancel()
 	var group sync.WaitGroup
-	for _, run := range p.onDrain {
+	for _, run := range p.hooks.drain {
 		group.Go(func() { run(hooks) })
 	}
 	select {
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -1,168 +1,17 @@
-// Package shed refuses requests of callers where they enter, before any work,
-// when their route meets pressure further down. The share of each route that is
-// admitted is that of admission.Gate.
+// Package shed refuses requests of callers where they enter, before any work, when their
+// route meets pressure further down. Package admission decides by a Gate a route; this
+// package owns the gates of its process. It serves routes of the policy's route table
+// only: without one, plug-in routing refuses by level.
 package shed
 
-import (
-	"math/rand/v2"
-	"sync"
-	"time"
-
-	"github.com/loomcleat/loomcleat/admission"
-	"github.com/loomcleat/loomcleat/event"
-	"github.com/loomcleat/loomcleat/kernel"
-	"github.com/loomcleat/loomcleat/result"
-)
+import "github.com/loomcleat/loomcleat/kernel"
 
 const name = "shed"
 
 func init() { kernel.Register(name, kernel.StageTraffic, setup) }
 
 func setup(process *kernel.Process) error {
-	s := &shed{process: process, gates: map[string]*route{}}
-	process.UseOutbound(name, s.middleware)
+	g := &gates{process: process, byPath: map[string]*routeGate{}}
+	process.UseOutbound(name, g.middleware)
 	return nil
 }
-
-// shed holds the gates of one process.
-type shed struct {
-	process *kernel.Process
-	mutex   sync.Mutex
-	gates   map[string]*route // by the path of the policy
-}
-
-// route is the gate of one route.
-type route struct {
-	gate *admission.Gate
-	// longest is the most time that a caller gave a request: that of a first try.
-	longest time.Duration
-	opening opening // as it was last logged
-}
-
-// opening is how far a gate is open, as operators want to know it.
-type opening int
-
-const (
-	open     opening = iota // everything is admitted
-	narrowed                // half or more
-	low                     // less than half
-)
-
-var openingNames = []string{"open", "narrowed", "low"}
-
-func openingOf(share float64) opening {
-	switch {
-	case share >= 1:
-		return open
-	case share >= 0.5:
-		return narrowed
-	default:
-		return low
-	}
-}
-
-func (s *shed) middleware(next kernel.Handler) kernel.Handler {
-	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
-		if !call.Routed || !call.External {
-			return next.Handle(call)
-		}
-		if share, admitted := s.admit(call); !admitted {
-			return nil, result.New(result.ShedEarly, "route %s admits a share of %.2f now", call.Policy.Path, share).
-				WithRetryAfter(s.process.OverloadRetryAfter(call))
-		}
-		started := time.Now()
-		answer, err := next.Handle(call)
-		s.done(call, pressureOf(call, answer, err, time.Since(started)))
-		return answer, err
-	})
-}
-
-// admit reports whether the call is admitted, and the share that is.
-func (s *shed) admit(call *kernel.Call) (share float64, admitted bool) {
-	now := time.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	found := s.route(call, now)
-	found.longest = max(found.longest, call.Patience)
-	admitted = found.gate.Admit(now, rank(found.longest-call.Patience))
-	call.RoomAfter = found.gate.Reopens()
-	return found.gate.Share(), admitted
-}
-
-// wastedPressure is the pressure of a request that was admitted here and failed
-// under pressure further down, after other services may have worked for it. The mean
-// pressure that a gate lets stand is 1, so that one request in wastedPressure may
-// fail. With the pressure of a refused offer, one in four, a mesh stayed in a state
-// in which it worked a quarter of its time in vain.
-const wastedPressure = 10
-
-// objectiveShare is the part of a route's target latency that its requests may take on
-// average while they wait for places. More would leave too little for those that take
-// longer than others; less would leave places idle, and refuse requests that could have
-// been served in time.
-const objectiveShare = 0.7
-
-// pressureOf returns the pressure that a request met, which took a time. What was served
-// after waiting is measured by the objective of its route: a wait that the objective
-// bears is none. A failure without pressure, such as a lost answer, is none of overload.
-func pressureOf(call *kernel.Call, answer *kernel.Answer, err error, taken time.Duration) float64 {
-	waited := call.Pressure > 1
-	switch {
-	case waited && (err != nil || answer.Failed()):
-		return max(call.Pressure, wastedPressure)
-	case waited && call.Policy.TargetLatency > 0:
-		return taken.Seconds() / (objectiveShare * call.Policy.TargetLatency.Seconds())
-	default:
-		return call.Pressure
-	}
-}
-
-func (s *shed) done(call *kernel.Call, pressure float64) {
-	now := time.Now()
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	found := s.route(call, now)
-	found.gate.Done(now, pressure)
-	share := found.gate.Share()
-	if now := openingOf(share); now != found.opening {
-		found.opening = now
-		s.process.Log.Emit(event.GateMoved, "path", call.Policy.Path, "opening", openingNames[now], "share", share, "pressure", pressure)
-	}
-}
-
-// route returns the route of a call. The mutex is held.
-func (s *shed) route(call *kernel.Call, now time.Time) *route {
-	found, exists := s.gates[call.Policy.Path]
-	if !exists {
-		found = &route{gate: admission.NewGate(now, admission.GateConfig{})}
-		s.gates[call.Policy.Path] = found
-	}
-	return found
-}
-
-// Ranks of requests that come again after a refusal, which is seen by the time that they
-// have spent. One that came back after a while goes before most first tries: a gate that
-// opens slowly after overload does not refuse it twice. It does not go before all of them:
-// under lasting overload, a route would serve returned requests only then. One that did
-// not wait goes last.
-const (
-	returnedRanks = 0.5
-	hastyRanks    = 0.6
-	hastyFrom     = 20 * time.Millisecond // less than this is a first try
-	// waitedFrom is the least that any caller is told, less what clocks may differ by.
-	waitedFrom = 90 * time.Millisecond
-)
-
-// rank places a request among those of its route, from 0, the first, up to 1. spent is
-// the time since its first try.
-func rank(spent time.Duration) float64 {
-	even := rand.Float64()
-	switch {
-	case spent < hastyFrom:
-		return even
-	case spent < waitedFrom:
-		return hastyRanks + even*(1-hastyRanks)
-	default:
-		return even * returnedRanks
-	}
-}
