--- a/internal/lab/cut_test.go
+++ b/internal/lab/cut_test.go
@@ -40,7 +40,8 @@
 // all other processes, and asks for the payment again meanwhile and afterwards.
 func TestAtMostOnceWhenTheRunnerIsCutOff(t *testing.T) {
 	is := is.New(t)
-	mesh := startTestMesh(t, MeshConfig{Graph: chainOf(1, 1), Backends: 4, Gateways: 1, Zones: []string{"z1", "z2", "z3"}, KeepRecords: true})
+	network := &cuts{}
+	mesh := startTestMesh(t, MeshConfig{Graph: chainOf(1, 1), Dial: network.dialFrom, Backends: 4, Gateways: 1, Zones: []string{"z1", "z2", "z3"}, KeepRecords: true})
 	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
 	defer cancel()
 	first := make(chan struct{})
@@ -53,7 +54,7 @@
 	}()
 	is.NoErr(waitFor(ctx, "the payment to run", func() bool { return len(runsOf(mesh, "cut")) > 0 }))
 	runner := runsOf(mesh, "cut")[0]
-	mesh.Cut(runner.Process)
+	network.cut(mesh, runner.Process)
 	for range 5 {
 		response, _, err := pay(ctx, mesh, "cut", "")
 		is.NoErr(err)
@@ -62,7 +63,7 @@
 		is.Equal(len(runsOf(mesh, "cut")), 1)
 	}
 	<-first
-	mesh.Heal()
+	network.heal()
 	is.NoErr(waitFor(ctx, "the answer of the first run", func() bool {
 		response, body, err := pay(ctx, mesh, "cut", "")
 		return err == nil && response.StatusCode == http.StatusOK && body == "12 EUR"
@@ -74,10 +75,11 @@
 // be repeated are refused there as not run, and go on on the other side.
 func TestAMinorityRunsNothing(t *testing.T) {
 	is := is.New(t)
-	mesh := startTestMesh(t, MeshConfig{Graph: chainOf(1, 1), Backends: 5, Gateways: 2, Zones: []string{"z1", "z2", "z3"}, KeepRecords: true})
+	network := &cuts{}
+	mesh := startTestMesh(t, MeshConfig{Graph: chainOf(1, 1), Dial: network.dialFrom, Backends: 5, Gateways: 2, Zones: []string{"z1", "z2", "z3"}, KeepRecords: true})
 	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
 	defer cancel()
-	mesh.Cut(mesh.Nodes[0].Process, mesh.Gateways[0])
+	network.cut(mesh, mesh.Nodes[0].Process, mesh.Gateways[0])
 	refusedOrRan := func(key string) bool {
 		response, _, err := pay(ctx, mesh, key, "")
 		is.NoErr(err)
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -1,5 +1,7 @@
-// Package lab runs whole meshes inside one program, with stand-ins for the
-// platform and the back ends. Demos, tests and measurements use it.
+// Package lab runs a whole mesh of nodes and gateways inside one program, with stand-ins for
+// the key-value store, the machine list and the back ends. The demo, tests and benchmarks
+// use it. It owns what it starts until Close, and relies on package daemon to open the
+// processes as the program does.
 package lab
 
 import (
@@ -41,6 +43,9 @@
 	Log *event.Logger
 	// Adjust changes the settings of each process. May be nil.
 	Adjust func(*settings.Settings)
+	// Dial returns what the process with the given settings id reaches others through.
+	// Default TCP.
+	Dial func(id string) kernel.DialFunc
 	// KeepRecords makes back ends remember each request that they ran.
 	KeepRecords bool
 }
@@ -65,7 +70,6 @@
 	mutex  sync.Mutex
 	seeds  []string
 	count  int
-	cuts   cuts
 }
 
 // StartMesh starts a mesh and waits until all processes are ready.
@@ -92,7 +96,7 @@
 			return nil, err
 		}
 	}
-	return m, m.WaitReady(ctx)
+	return m, m.waitReady(ctx)
 }
 
 func (m *Mesh) startPlatform(ctx context.Context) error {
@@ -132,11 +136,14 @@
 
 // open makes a process, starts it and enters it in the machine list.
 func (m *Mesh) open(s settings.Settings) (*kernel.Process, error) {
-	process, err := daemon.OpenWithDial(s, m.config.Log.With("process", s.ID), m.cuts.dialFrom(s.ID))
+	var dial kernel.DialFunc
+	if m.config.Dial != nil {
+		dial = m.config.Dial(s.ID)
+	}
+	process, err := daemon.OpenWithDial(s, m.config.Log.With("process", s.ID), dial)
 	if err != nil {
 		return nil, err
 	}
-	m.cuts.name(s.ID, process)
 	go func() { _ = process.Start(context.Background()) }()
 	m.mutex.Lock()
 	m.seeds = append(m.seeds, process.ControlAddress())
@@ -207,9 +214,9 @@
 	return all
 }
 
-// WaitReady waits until all processes take requests, know each other and the
+// waitReady waits until all processes take requests, know each other and the
 // claim groups.
-func (m *Mesh) WaitReady(ctx context.Context) error {
+func (m *Mesh) waitReady(ctx context.Context) error {
 	return waitFor(ctx, "the mesh to be ready", func() bool {
 		all := m.Processes()
 		for _, process := range all {
@@ -222,18 +229,6 @@
 	})
 }
 
-// WaitRevision waits until all processes have the policy revision.
-func (m *Mesh) WaitRevision(ctx context.Context, revision uint64) error {
-	return waitFor(ctx, fmt.Sprintf("policy revision %d everywhere", revision), func() bool {
-		for _, process := range m.Processes() {
-			if process.Documents.Revisions().Policy < revision {
-				return false
-			}
-		}
-		return true
-	})
-}
-
 const waitInterval = 5 * time.Millisecond
 
 func waitFor(ctx context.Context, what string, done func() bool) error {
@@ -260,9 +255,3 @@
 	_ = m.server.Close()
 	m.Store.Close()
 }
-
-// Edit makes one edit of the policy tree.
-func (m *Mesh) Edit(ctx context.Context, changes ...policy.Change) error {
-	_, err := editor.New(m.Store, "lab").Apply(ctx, changes)
-	return err
-}
--- a/internal/lab/cut.go
+++ b/internal/lab/network_test.go
@@ -14,21 +14,31 @@
 // refused, and those that are open break at their next use.
 type cuts struct {
 	mutex sync.Mutex
-	names map[string]string // address to settings id
+	names map[string]string // address to settings id, of the processes at the time of the cut
 	away  map[string]bool   // settings ids on the far side
 }
 
 var errCut = errors.New("cut off")
 
-// name remembers the addresses of a process.
-func (c *cuts) name(id string, process *kernel.Process) {
+// cut separates the given processes of a mesh from all others.
+func (c *cuts) cut(mesh *Mesh, processes ...*kernel.Process) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.names == nil {
-		c.names = map[string]string{}
+	c.names, c.away = map[string]string{}, map[string]bool{}
+	for _, process := range mesh.Processes() {
+		c.names[process.ControlAddress()] = process.Settings.ID
+		c.names[process.TrafficAddress()] = process.Settings.ID
 	}
-	c.names[process.ControlAddress()] = id
-	c.names[process.TrafficAddress()] = id
+	for _, process := range processes {
+		c.away[process.Settings.ID] = true
+	}
+}
+
+// heal ends a cut.
+func (c *cuts) heal() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.away = nil
 }
 
 // separated reports whether a cut lies between a process and an address.
@@ -78,16 +88,3 @@
 	}
 	return c.Conn.Write(data)
 }
-
-// Cut separates the given processes from all others.
-func (m *Mesh) Cut(processes ...*kernel.Process) {
-	m.cuts.mutex.Lock()
-	defer m.cuts.mutex.Unlock()
-	m.cuts.away = map[string]bool{}
-	for _, process := range processes {
-		m.cuts.away[process.Settings.ID] = true
-	}
-}
-
-// Heal ends a cut.
-func (m *Mesh) Heal() { m.Cut() }
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -2,7 +2,9 @@
 // time and compares what it decides with the outcome that the trace states.
 //
 // A trace is a YAML file. Each step has a time after the start and one action;
-// "expect" states what the step must lead to.
+// "expect" states what the step must lead to. The package owns the form of traces and one
+// player for each kind of decision code; it relies on that code and, for gossip, on
+// package simulation. The recorded traces lie in testdata.
 package replay
 
 import (
