--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -66,9 +66,9 @@
 	id := "r" + strconv.FormatInt(number, 10)
 	request := requestOf(n, kind, id)
 	c.fleet.checker.Sent(id, kind)
-	planned := c.fleet.inTouch() && n.stopsInOrder()
+	planned := c.fleet.settled() && n.stopsInOrder()
 	answer := exchange(client, request, id)
-	answer.Planned = planned && c.fleet.inTouch()
+	answer.Planned = planned && c.fleet.settled()
 	c.fleet.checker.Ended(time.Now(), id, answer)
 	return answer
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -34,11 +34,11 @@
 const (
 	// drainTime is the time after which a leaving back end gets no more requests.
 	drainTime = 2 * time.Second
-	// contactTime is the time without faults after which a process must know what others do.
-	contactTime = 3 * time.Second
+	// settleTime is the time without faults after which a process must know what others do.
+	settleTime = 3 * time.Second
 	// crashesToKnow is the number of crashes after which a request must be stopped.
 	crashesToKnow = 3
-	// crashesLate is the number of times that it may reach back ends after that, contactTime later.
+	// crashesLate is the number of times that it may reach back ends after that, settleTime later.
 	crashesLate = 3
 )
 
@@ -131,9 +131,9 @@
 	}
 }
 
-// Ran tells that an incarnation has begun to run a request. inTouch says that no fault has
+// Ran tells that an incarnation has begun to run a request. settled says that no fault has
 // struck lately that excuses late knowledge.
-func (c *Checker) Ran(now time.Time, id, instance string, inTouch bool) {
+func (c *Checker) Ran(now time.Time, id, instance string, settled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if since, leaving := c.closed[instance]; leaving && now.Sub(since) > drainTime {
@@ -154,18 +154,18 @@
 		c.violate(now, NotRun, "request %s (%s) ran after its caller got %d", id, known.kind.Name, known.promised)
 	}
 	if known.kind.Crasher != "" {
-		c.ranCrasher(now, known.kind.Crasher, instance, inTouch)
+		c.ranCrasher(now, known.kind.Crasher, instance, settled)
 	}
 }
 
 // ranCrasher counts a request that crashes back ends. The mutex is held.
-func (c *Checker) ranCrasher(now time.Time, name, instance string, inTouch bool) {
+func (c *Checker) ranCrasher(now time.Time, name, instance string, settled bool) {
 	known, exists := c.crashers[name]
 	if !exists {
 		known = &crasher{instances: map[string]bool{}}
 		c.crashers[name] = known
 	}
-	if inTouch && !known.third.IsZero() && now.Sub(known.third) > contactTime {
+	if settled && !known.third.IsZero() && now.Sub(known.third) > settleTime {
 		known.late++
 		if known.late == crashesLate+1 {
 			c.violate(now, CrashesBounded, "%s reached back ends %d times more, %s after the third had crashed", name, known.late, now.Sub(known.third).Round(time.Millisecond))
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -74,13 +74,13 @@
 		{"crashes, on and on", func(c *Checker) {
 			c.Sent("a", crashes)
 			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
-				c.Ran(at(time.Duration(i)*2*contactTime), "a", instance, true)
+				c.Ran(at(time.Duration(i)*2*settleTime), "a", instance, true)
 			}
 		}, []Promise{CrashesBounded}},
-		{"the same, while processes are out of touch", func(c *Checker) {
+		{"the same, before the processes have settled", func(c *Checker) {
 			c.Sent("a", crashes)
 			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
-				c.Ran(at(time.Duration(i)*2*contactTime), "a", instance, false)
+				c.Ran(at(time.Duration(i)*2*settleTime), "a", instance, false)
 			}
 		}, nil},
 	}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -2,6 +2,9 @@
 // the store, lets faults strike from outside in an order drawn by a seed, and checks the
 // promises while it runs, from what callers and back ends see.
 //
-// A Checker holds the promises; it does no I/O. A fleet holds the processes, callers send
-// requests, and faults are drawn by one generator, so that a seed gives the same series.
+// It owns the processes and stand-ins that it starts (fleet, node), the faults, the callers
+// and the Checker, which holds the promises and does no I/O. It relies on the built program,
+// on packages platformbackend and metastore for the other side, and on package platform for
+// the names of headers. Faults are drawn by one generator, so that a seed gives the same
+// series; the times of processes differ.
 package soak
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -12,7 +12,7 @@
 )
 
 // Lengths of the parts of a soak. Faults strike in spells, alone and together; in between,
-// processes come back in touch, and what takes time to be known must be known.
+// processes hear of each other again, and what takes time to be known must be known.
 const (
 	spellTime = 6 * time.Second
 	calmTime  = 6 * time.Second
@@ -22,12 +22,13 @@
 	faultTime = 2500 * time.Millisecond
 )
 
-// fault is one kind of fault. It lasts until strike returns.
+// fault is one kind of fault. It lasts until run returns.
 type fault struct {
 	name string
-	// unplanned says that processes are out of touch until contactTime after it.
+	// unplanned says that what processes know of each other may be late until settleTime
+	// after it.
 	unplanned bool
-	strike    func(f *fleet, n *node, duration time.Duration)
+	run       func(f *fleet, n *node, duration time.Duration)
 }
 
 // faults are all kinds, drawn with the same chance.
@@ -49,7 +50,7 @@
 func killNode(f *fleet, n *node, duration time.Duration) {
 	n.kill()
 	time.Sleep(duration / 2)
-	f.startAgain(n)
+	f.restartNode(n)
 }
 
 func freezeNode(_ *fleet, n *node, duration time.Duration) {
@@ -69,7 +70,7 @@
 	if !n.terminate() {
 		f.checker.Violate(time.Now(), PlannedStop, "%s did not end in order within %s", n.name, 2*stopWithin)
 	}
-	f.startAgain(n)
+	f.restartNode(n)
 }
 
 // killAll kills the drawn node and all others that no other fault has.
@@ -85,7 +86,7 @@
 		n.kill()
 	}
 	for _, n := range taken {
-		f.startAgain(n)
+		f.restartNode(n)
 	}
 }
 
@@ -101,24 +102,12 @@
 
 func drainBackend(f *fleet, n *node, _ time.Duration) {
 	n.backend.Drain(2 * drainTime)
-	f.startBackend(n)
+	f.restartBackend(n)
 }
 
-func (f *fleet) startAgain(n *node) {
-	f.mutex.Lock()
-	ending := f.ending
-	f.mutex.Unlock()
-	if ending {
-		return
-	}
-	if err := n.start(); err != nil {
-		f.checker.Violate(time.Now(), NoOwnExit, "%s could not be started again: %v", n.name, err)
-	}
-}
-
-// strike lets a spell of faults strike, drawn by random, and waits for the last of them.
+// runSpell lets faults strike for spellTime, drawn by random, and waits for the last of them.
 // Faults overlap, but each node has one at a time.
-func (f *fleet) strike(ctx context.Context, random *rand.Rand) {
+func (f *fleet) runSpell(ctx context.Context, random *rand.Rand) {
 	spell, cancel := context.WithTimeout(ctx, spellTime)
 	defer cancel()
 	going := sync.WaitGroup{}
@@ -130,7 +119,7 @@
 		if n.lock() {
 			going.Go(func() {
 				defer n.unlock()
-				f.suffer(drawn, n, duration)
+				f.inject(drawn, n, duration)
 			})
 		}
 		time.Sleep(pause)
@@ -138,12 +127,13 @@
 	going.Wait()
 }
 
-func (f *fleet) suffer(drawn fault, n *node, duration time.Duration) {
+// inject lets one fault strike a node.
+func (f *fleet) inject(drawn fault, n *node, duration time.Duration) {
 	f.config.Log("%s at %s for %s", drawn.name, n.name, duration.Round(time.Millisecond))
 	if drawn.unplanned {
-		defer f.begin()()
+		defer f.beginFault()()
 	}
-	drawn.strike(f, n, duration)
+	drawn.run(f, n, duration)
 }
 
 // lock takes a node for a fault and reports false when another one has it.
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -44,11 +44,11 @@
 	server  *httptest.Server
 	nodes   []*node
 
-	mutex   sync.Mutex
-	trouble time.Time // end of the last unplanned fault
-	active  int       // unplanned faults that go on
-	version int
-	ending  bool
+	mutex        sync.Mutex
+	lastFault    time.Time // end of the last unplanned fault
+	activeFaults int       // unplanned ones that go on
+	version      int       // of the configuration
+	closing      bool
 }
 
 // newFleet starts everything and waits until it serves.
@@ -82,7 +82,7 @@
 // close ends all that was started.
 func (f *fleet) close() {
 	f.mutex.Lock()
-	f.ending = true
+	f.closing = true
 	f.mutex.Unlock()
 	for _, n := range f.nodes {
 		n.backend.Stop()
@@ -99,36 +99,36 @@
 	f.checker.Violate(time.Now(), NoOwnExit, "%s ended by itself: %v", n.name, err)
 }
 
-// begin tells that an unplanned fault begins, until end is called.
-func (f *fleet) begin() (end func()) {
+// beginFault notes that an unplanned fault begins, until end is called.
+func (f *fleet) beginFault() (end func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.active++
+	f.activeFaults++
 	return func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.active--
-		f.trouble = time.Now()
+		f.activeFaults--
+		f.lastFault = time.Now()
 	}
 }
 
-// inTouch reports whether no unplanned fault has struck lately.
-func (f *fleet) inTouch() bool {
+// settled reports whether no unplanned fault has struck for settleTime.
+func (f *fleet) settled() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.active == 0 && time.Since(f.trouble) > contactTime
+	return f.activeFaults == 0 && time.Since(f.lastFault) > settleTime
 }
 
 // Ran implements platformbackend.Observer.
-func (f *fleet) Ran(requestID, _, instance string, _ bool) {
-	f.checker.Ran(time.Now(), requestID, instance, f.inTouch())
+func (f *fleet) Ran(requestID, instance string) {
+	f.checker.Ran(time.Now(), requestID, instance, f.settled())
 }
 
 // Crashed implements platformbackend.Observer.
 func (f *fleet) Crashed(instance string) {
 	for _, n := range f.nodes {
 		if n.backend.Instance() == instance {
-			time.AfterFunc(backAfter, func() { f.startBackend(n) })
+			time.AfterFunc(backAfter, func() { f.restartBackend(n) })
 		}
 	}
 }
@@ -136,12 +136,19 @@
 // Closed implements platformbackend.Observer.
 func (f *fleet) Closed(instance string) { f.checker.Closed(time.Now(), instance) }
 
-// startBackend begins the next incarnation of a back end.
-func (f *fleet) startBackend(n *node) {
-	f.mutex.Lock()
-	ending := f.ending
-	f.mutex.Unlock()
-	if ending {
+// restartNode starts the process of a node again, unless the soak ends.
+func (f *fleet) restartNode(n *node) {
+	if f.isClosing() {
+		return
+	}
+	if err := n.start(); err != nil {
+		f.checker.Violate(time.Now(), NoOwnExit, "%s could not be started again: %v", n.name, err)
+	}
+}
+
+// restartBackend begins the next incarnation of a back end, unless the soak ends.
+func (f *fleet) restartBackend(n *node) {
+	if f.isClosing() {
 		return
 	}
 	if err := n.backend.Start(); err != nil {
@@ -149,6 +156,12 @@
 	}
 }
 
+func (f *fleet) isClosing() bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.closing
+}
+
 // edit puts a new version of the configuration in the store.
 func (f *fleet) edit() {
 	f.mutex.Lock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -34,8 +34,8 @@
 	mutex   sync.Mutex
 	cmd     *exec.Cmd
 	exited  chan struct{}
-	told    bool // to end
-	planned time.Time
+	stopped bool // it was told to end; an end without that breaks NoOwnExit
+	orderly bool // it was told to end in order
 	onExit  func(n *node, err error)
 }
 
@@ -107,8 +107,7 @@
 	n.cmd = exec.Command(n.program, "node", "--config", n.file)
 	n.cmd.Env = append(os.Environ(), clockVariable+"="+n.clock)
 	n.cmd.Stdout, n.cmd.Stderr = log, log
-	n.told = false
-	n.planned = time.Time{}
+	n.stopped, n.orderly = false, false
 	n.exited = make(chan struct{})
 	if err := n.cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", n.name, err)
@@ -121,10 +120,10 @@
 func (n *node) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	n.mutex.Lock()
-	told := n.told
+	stopped := n.stopped
 	n.mutex.Unlock()
 	close(exited)
-	if !told {
+	if !stopped {
 		n.onExit(n, err)
 	}
 }
@@ -141,7 +140,7 @@
 // kill ends the process at once.
 func (n *node) kill() {
 	n.mutex.Lock()
-	n.told = true
+	n.stopped = true
 	exited := n.exited
 	n.mutex.Unlock()
 	n.signal(syscall.SIGCONT)
@@ -152,8 +151,7 @@
 // terminate stops the process in order and reports whether it ended in time.
 func (n *node) terminate() bool {
 	n.mutex.Lock()
-	n.told = true
-	n.planned = time.Now()
+	n.stopped, n.orderly = true, true
 	exited := n.exited
 	n.mutex.Unlock()
 	n.signal(syscall.SIGTERM)
@@ -195,5 +193,5 @@
 func (n *node) stopsInOrder() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return !n.planned.IsZero()
+	return n.orderly
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -113,7 +113,7 @@
 		c.run(asking)
 	}()
 	for cycle := 0; asking.Err() == nil; cycle++ {
-		c.fleet.strike(asking, random)
+		c.fleet.runSpell(asking, random)
 		crashing, done := context.WithTimeout(asking, calmTime)
 		c.fleet.config.Log("calm, with a request that crashes back ends")
 		c.crash(crashing, crasherName(cycle), crasherName(max(cycle-1, 0)))
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -3,16 +3,15 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
+	"github.com/loomcleat/loomcleat/internal/standin/serving"
 	"github.com/loomcleat/loomcleat/result"
 	"github.com/loomcleat/loomcleat/wire"
 )
@@ -73,9 +72,7 @@
 	keep    bool
 	client  *http.Client
 	server  *http.Server
-	address string
-	slots   chan struct{}
-	waiting chan struct{}
+	slots   *serving.Slots
 
 	mutex    sync.Mutex
 	outbound string
@@ -83,9 +80,6 @@
 	faults   Faults
 }
 
-// headerTimeout is the time within which the head of a request must have come.
-const headerTimeout = 10 * time.Second
-
 // Start starts a stand-in. It returns an error when a route of the service cannot be
 // parsed or the address is not free.
 func Start(config Config) (*Backend, error) {
@@ -93,33 +87,27 @@
 	if err := service.prepare(); err != nil {
 		return nil, err
 	}
-	b := &Backend{service: service, outbound: config.Outbound, keep: config.KeepRecord}
-	b.client = &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: 64,
-		DisableCompression:  true,
-		Proxy:               nil,
-		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-	}}
-	if service.Slots > 0 {
-		b.slots = make(chan struct{}, service.Slots)
-		b.waiting = make(chan struct{}, service.Slots+service.Queue)
+	b := &Backend{
+		service:  service,
+		keep:     config.KeepRecord,
+		client:   serving.NewClient(),
+		slots:    serving.NewSlots(service.Slots, service.Queue),
+		outbound: config.Outbound,
 	}
 	address := config.Address
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
-	listener, err := net.Listen("tcp", address)
+	server, err := serving.Listen(address, b)
 	if err != nil {
-		return nil, fmt.Errorf("starting a back end: %w", err)
+		return nil, err
 	}
-	b.address = listener.Addr().String()
-	b.server = &http.Server{Handler: b, ReadHeaderTimeout: headerTimeout}
-	go func() { _ = b.server.Serve(listener) }() // it ends with Shutdown or Close
+	b.server = server
 	return b, nil
 }
 
 // Address returns where the stand-in listens.
-func (b *Backend) Address() string { return b.address }
+func (b *Backend) Address() string { return b.server.Addr }
 
 // Shutdown takes no new requests and waits until the others have ended, or ctx has.
 func (b *Backend) Shutdown(ctx context.Context) error { return b.server.Shutdown(ctx) }
@@ -170,7 +158,7 @@
 		_ = http.NewResponseController(w).EnableFullDuplex() // echo while the request is open
 		defer func() { _, _ = io.Copy(io.Discard, r.Body) }()
 	}
-	release, ok := b.takeSlot(r)
+	release, ok := b.slots.Take(r.Context())
 	if !ok {
 		http.Error(w, "no slot is free", http.StatusServiceUnavailable)
 		return
@@ -197,25 +185,6 @@
 	}
 }
 
-// takeSlot waits for a slot, or reports false when too many wait.
-func (b *Backend) takeSlot(r *http.Request) (release func(), ok bool) {
-	if b.slots == nil {
-		return func() {}, true
-	}
-	select {
-	case b.waiting <- struct{}{}:
-	default:
-		return nil, false
-	}
-	select {
-	case b.slots <- struct{}{}:
-		return func() { <-b.slots; <-b.waiting }, true
-	case <-r.Context().Done():
-		<-b.waiting
-		return nil, false
-	}
-}
-
 func (b *Backend) record(r *http.Request) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/standin/backend/graph.go
+++ b/internal/standin/backend/graph.go
@@ -1,6 +1,8 @@
 // Package backend is a stand-in for a back end: it has slots and a queue, makes
 // the calls that a call graph describes, keeps a record of what it ran, and can
-// be told to misbehave.
+// be told to misbehave. Request headers tell it what to answer. It owns its listener
+// from Start until Shutdown or Close, and relies on package serving. The demo and the
+// tests use it.
 package backend
 
 import (
--- a/internal/standin/platformbackend/backend.go
+++ b/internal/standin/platformbackend/backend.go
@@ -2,7 +2,8 @@
 // its published protocol: it has incarnations, sends heartbeats to the node beside it,
 // refuses what is meant for another incarnation, drains, crashes and comes back.
 //
-// It belongs to the tests and to the soak.
+// It owns its listener and its heartbeats, and relies on package serving, and on package
+// platform for the names of headers. It belongs to the soak.
 package platformbackend
 
 import (
@@ -10,13 +11,13 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
+	"github.com/loomcleat/loomcleat/internal/standin/serving"
 	"github.com/loomcleat/loomcleat/platform"
 )
 
@@ -46,7 +47,7 @@
 // Observer is told what the stand-in sees. Its methods may be called at the same time.
 type Observer interface {
 	// Ran tells that an incarnation has begun to run a request.
-	Ran(requestID, service, instance string, crashes bool)
+	Ran(requestID, instance string)
 	// Crashed tells that an incarnation has crashed.
 	Crashed(instance string)
 	// Closed tells that the node has acknowledged that an incarnation leaves.
@@ -57,7 +58,7 @@
 type Backend struct {
 	config Config
 	client *http.Client
-	slots  chan struct{}
+	slots  *serving.Slots
 
 	mutex    sync.Mutex
 	starts   int
@@ -72,30 +73,26 @@
 func New(config Config) *Backend {
 	return &Backend{
 		config: config,
-		slots:  make(chan struct{}, config.Slots),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true}},
+		slots:  serving.NewSlots(config.Slots, 0),
+		client: serving.NewClient(),
 	}
 }
 
 // Start begins an incarnation and the heartbeats of it.
 func (b *Backend) Start() error {
-	listener, err := net.Listen("tcp", b.config.Address)
-	if err != nil {
-		return fmt.Errorf("starting a back end: %w", err)
-	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.stopped || b.server != nil {
-		return listener.Close()
+		return nil
+	}
+	instance := fmt.Sprintf("i-%s-%d", strings.ReplaceAll(b.config.Address, ":", "-"), b.starts+1)
+	server, err := serving.Listen(b.config.Address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.serve(w, r, instance) }))
+	if err != nil {
+		return err
 	}
 	b.starts++
-	b.instance = fmt.Sprintf("i-%s-%d", strings.ReplaceAll(b.config.Address, ":", "-"), b.starts)
-	b.draining = false
-	b.sequence = 0
-	instance := b.instance
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.serve(w, r, instance) })}
-	b.server = server
-	go func() { _ = server.Serve(listener) }()
+	b.instance, b.server = instance, server
+	b.draining, b.sequence = false, 0
 	go b.beat(instance)
 	return nil
 }
@@ -107,13 +104,6 @@
 	return b.instance
 }
 
-// Up reports whether an incarnation runs and does not leave.
-func (b *Backend) Up() bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.server != nil && !b.draining
-}
-
 // Crash ends an incarnation at once, with all that it works on. It reports whether it ran.
 func (b *Backend) Crash(instance string) bool {
 	b.mutex.Lock()
@@ -250,16 +240,15 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	select {
-	case b.slots <- struct{}{}:
-		defer func() { <-b.slots }()
-	default:
+	release, ok := b.slots.Take(r.Context())
+	if !ok {
 		w.Header().Set(dialect.NotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
+	defer release()
 	crashes := r.Header.Get(HeaderCrash) != ""
-	b.config.Observer.Ran(requestID, b.config.Service, instance, crashes)
+	b.config.Observer.Ran(requestID, instance)
 	time.Sleep(b.config.Work)
 	if crashes {
 		b.Crash(instance)
