--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -51,7 +51,7 @@
 	closing      bool
 }
 
-// newFleet starts everything and waits until it serves.
+// newFleet starts everything. It does not wait until it serves.
 func newFleet(config Config, checker *Checker) (*fleet, error) {
 	f := &fleet{config: config, checker: checker, store: metastore.NewServer(), version: 1}
 	f.server = httptest.NewServer(f.store.Handler())
