--- a/balance/cost.go
+++ b/balance/cost.go
@@ -10,7 +10,7 @@
 // compared under overload; no difference showed.
 const awayFactor = 1.2
 
-// minimumLatency keeps the cost of a node that has not answered yet above 0.
+// minimumLatency, in seconds, keeps the cost of a node that has not answered yet above 0.
 const minimumLatency = 0.0005
 
 // leastWarm is the least share of its calls that a new node is taken to be ready for, so
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -48,7 +48,7 @@
 	SharedBudget bool
 	// Offers is the number of attempts of this round, with the one that ended.
 	Offers int
-	// Absent says that a node of this round was absent.
+	// Absent says that a node of this round was absent, in this attempt or an earlier one.
 	Absent bool
 	// Arrivals is the number of earlier attempts that may have arrived at a back end.
 	Arrivals int
