--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,7 +20,7 @@
 
 func newDesk(limit int) *desk {
 	return &desk{
-		Controller: NewController(epoch, Config{MaximumLimit: limit, FixedLimit: true, QueueTime: 50 * time.Millisecond}),
+		Controller: NewController(epoch, Config{MinimumLimit: limit, MaximumLimit: limit, QueueTime: 50 * time.Millisecond}),
 		tickets:    map[string]*Ticket{},
 	}
 }
@@ -242,7 +242,7 @@
 
 func ExampleController() {
 	now := time.Unix(0, 0)
-	controller := NewController(now, Config{MaximumLimit: 1, FixedLimit: true, QueueTime: 50 * time.Millisecond})
+	controller := NewController(now, Config{MinimumLimit: 1, MaximumLimit: 1, QueueTime: 50 * time.Millisecond})
 	deadline := now.Add(time.Second)
 	say := func(name string) func(Verdict) {
 		return func(verdict Verdict) { fmt.Println(name, verdict == Admitted) }
@@ -277,11 +277,11 @@
 	is.True(limit.Current() > 5)
 }
 
-// TestFreshRequestsKeepAShare: a back end that is busy with committed requests
+// TestUncommittedRequestsKeepAShare: a back end that is busy with committed requests
 // all the time still serves the others of their class.
-func TestFreshRequestsKeepAShare(t *testing.T) {
+func TestUncommittedRequestsKeepAShare(t *testing.T) {
 	is := is.New(t)
-	controller := NewController(epoch, Config{MaximumLimit: 10, FixedLimit: true, QueueTime: time.Second})
+	controller := NewController(epoch, Config{MinimumLimit: 10, MaximumLimit: 10, QueueTime: time.Second})
 	running := []*Ticket{}
 	served := map[bool]int{}
 	ask := func(now time.Time, committed bool) {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -27,11 +27,17 @@
 // Gate admits a share of the user requests of one kind where they enter, so that
 // what is admitted can be served along its whole call graph. It learns from the
 // pressure that admitted requests met further down: how long they waited for
-// places, as a multiple of what they should wait. Pressure above 1 lowers the
+// slots, as a multiple of what they should wait. Pressure above 1 lowers the
 // share by a factor, pressure below 1 raises it by steps.
 //
 // A share that moves slowly costs less than a level that follows at once: what
 // was admitted a moment ago is still on its way down when its effect is seen.
+//
+// Where it is reached: in the process at which a request of a caller outside the mesh
+// enters, where the policy has a route table, one gate a route (plug-in shed). Without a
+// route table, callers' processes refuse by level instead (levelControl, plug-in routing).
+// Levels beside the back ends go on in both cases.
+//
 // It is not safe for concurrent use.
 type Gate struct {
 	config  GateConfig
@@ -62,9 +68,9 @@
 	// mostWindows bounds the windows that one sample stands for. A gate that sees a
 	// request a second moves as far in that second as one that sees hundreds.
 	mostWindows = 10
-	// trialAfterWindows is the number of windows without any sample after which the
+	// probeAfterWindows is the number of windows without any sample after which the
 	// share rises all the same: what is refused shows nothing.
-	trialAfterWindows = 10
+	probeAfterWindows = 10
 )
 
 // NewGate returns a Gate that admits everything.
@@ -106,7 +112,7 @@
 	}
 	windows := 1 + int(now.Sub(g.end)/g.config.Window)
 	if g.samples == 0 {
-		g.tryOpening(windows - trialAfterWindows)
+		g.tryOpening(windows - probeAfterWindows)
 		return
 	}
 	g.end = g.end.Add(time.Duration(windows) * g.config.Window)
--- a/admission/level.go
+++ b/admission/level.go
@@ -2,42 +2,49 @@
 
 import "time"
 
-// levelControl sets the level below which requests are refused. It counts what
-// arrives by priority in windows. In a window with refusals, the level becomes
-// the lowest one at which the arrivals above it are as many as were started.
-// So it does in a window in which requests that are never refused for it have
-// waited too long.
-// In a window with room, it falls.
+// levelControl sets the level below which requests are refused.
+//
+// It counts what arrives by priority in windows. In a window with refusals, the level
+// becomes the lowest one at which no more arrives above it than was started, and so it
+// does in a window in which requests that it never refuses (committed ones) have waited
+// too long. In a window with room, it falls.
+//
+// Where it is reached: beside every back end, on every deployment, by requests that are
+// not committed (Controller.screen). The level also travels back with answers; a caller's
+// process refuses by it only where the policy has no route table (plug-in routing).
+// With one, a Gate decides where requests enter. No setting chooses between the two.
 type levelControl struct {
 	window   time.Duration
-	end      time.Time
-	current  int
-	arrivals [buckets]float64 // smoothed, by priority
-	recent   [buckets]int
-	starts   int
-	refused  int // by the queue or by the level
-	delayed  int // started after waiting longer than they should
-	served   float64
+	end      time.Time        // of the window
+	current  int              // the level, a priority
+	arrivals [buckets]float64 // by priority, smoothed over windows
+	recent   [buckets]int     // the same in this window
+	starts   int              // requests started in this window
+	refused  int              // by the queue or by the level
+	delayed  int              // started after waiting longer than they should
+	served   float64          // starts, smoothed over windows
 
 	// Arrivals of the highest class and starts, smoothed over many windows.
 	criticalSlow float64
 	servedSlow   float64
 }
 
+// Constants of the level. docs/design/overload.md has the runs in virtual time that they
+// come from; those that it does not name are estimates.
 const (
-	bucketWidth   = 8
+	bucketWidth   = 8 // priorities that are counted together
 	buckets       = (MaximumPriority + 1) / bucketWidth
-	arrivalWeight = 0.4  // of the last window in the smoothed arrivals
-	windowStarts  = 8    // fewer starts make a window with refusals longer
-	longestWait   = 7    // windows by which it may become longer
-	slowWeight    = 0.05 // of the last window in what decides on the highest class
-	criticalLevel = (classes - 1) * prioritiesPerClass
-	headroom      = 1.02 // arrivals admitted for each one started
-	catchUp       = 0.95 // the same while the queue is too long
-	fallStep      = 16   // priorities by which the level falls in a quiet window
-	idleFallStep  = 96   // the same while a large part of the limit is free
-	idleRoom      = 0.5
-	fullRoom      = 0.1 // less free than this counts as full
+	arrivalWeight = 0.4                                // of the last window in the smoothed arrivals
+	windowStarts  = 8                                  // fewer starts make a window with refusals longer
+	longestWait   = 7                                  // windows by which it may become longer
+	slowWeight    = 0.05                               // of the last window in what decides on the highest class
+	criticalLevel = (classes - 1) * prioritiesPerClass // that of the highest class
+	headroom      = 1.02                               // arrivals admitted for each one started
+	catchUp       = 0.95                               // the same while the queue is too long
+	fallStep      = 16                                 // priorities by which the level falls in a quiet window
+	idleFallStep  = 96                                 // the same while a large part of the limit is free
+	idleRoom      = 0.5                                // free share of the limit from which on that is so
+	fullRoom      = 0.1                                // less free than this counts as full
 )
 
 func newLevelControl(now time.Time, window time.Duration) *levelControl {
@@ -48,9 +55,10 @@
 	l.recent[min(max(priority, 0), MaximumPriority)/bucketWidth]++
 }
 
-func (l *levelControl) started() {
-	l.starts++
-}
+func (l *levelControl) started() { l.starts++ }
+
+// refuses reports whether the level refuses a priority.
+func (l *levelControl) refuses(priority int) bool { return priority < l.current }
 
 // adjust closes the window when its time is over. room is the free share of the
 // limit.
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -10,7 +10,7 @@
 // It compares the back end's own time in each window with the time at low load.
 // While both are alike and the limit was reached, it grows. When the time has
 // grown by more than the tolerance, requests queue inside the back end, or the
-// back end became slower for another reason than load. A trial tells: the limit
+// back end became slower for another reason than load. A probe tells: the limit
 // is lowered for two windows. If the time follows, requests were queueing, and
 // the lower limit stays. If it does not, the slower time becomes the new time
 // at low load, and the limit is put back.
@@ -27,29 +27,29 @@
 	congested        int     // windows in a row above the tolerance
 	congestedSum     float64 // of the mean times of these windows
 	saturated        int     // windows in a row in which the limit was used
-	trial            trial
+	probe            probe
 }
 
-// trial is a window with a halved limit.
-type trial struct {
+// probe is a window with a lowered limit.
+type probe struct {
 	active bool
-	before float64 // mean time before the trial
-	limit  float64 // limit before the trial
+	before float64 // mean time before the probe
+	limit  float64 // limit before the probe
 	skip   bool    // the first window still sees older requests
 }
 
 const (
 	windowTime         = 100 * time.Millisecond
 	windowSamples      = 16   // fewer samples make the window longer
-	trialSamples       = 40   // the same for the window of a trial
+	probeSamples       = 40   // the same for the window of a probe
 	tolerance          = 1.5  // growth of the time that counts as queueing
 	comfortable        = 1.2  // growth of the time up to which the limit may grow
 	initialLimit       = 20.0 // until something is known
 	reachedShare       = 0.8  // of the limit that must be used for it to grow
-	trialAfter         = 2    // congested windows before a trial
-	trialEvery         = 30   // windows with a used limit before a trial
-	trialShare         = 0.7  // of the limit during a trial
-	trialFollows       = 0.85 // the time follows when it falls below this share
+	probeAfter         = 2    // congested windows before a probe
+	probeEvery         = 30   // windows with a used limit before a probe
+	probeShare         = 0.7  // of the limit during a probe
+	probeFollows       = 0.85 // the time follows when it falls below this share
 	baselineFall       = 0.1  // share by which the baseline follows a lower time
 	baselineDrop       = 0.5  // the same when the time is far lower
 	baselineRise       = 0.05 // share by which it follows a higher one
@@ -91,11 +91,11 @@
 	l.closeWindow(now)
 }
 
-// samplesNeeded is larger for the window of a trial that is compared: a wrong
-// conclusion costs more than a longer trial.
+// samplesNeeded is larger for the window of a probe that is compared: a wrong
+// conclusion costs more than a longer probe.
 func (l *Limit) samplesNeeded() int {
-	if l.trial.active && !l.trial.skip {
-		return trialSamples
+	if l.probe.active && !l.probe.skip {
+		return probeSamples
 	}
 	return windowSamples
 }
@@ -107,8 +107,8 @@
 	l.sum, l.count, l.peak = 0, 0, 0
 	length := time.Duration(2 * mean * float64(time.Second))
 	l.windowEnd = now.Add(min(max(windowTime, length), longestEmptyWindow))
-	if l.trial.active {
-		l.closeTrial(mean)
+	if l.probe.active {
+		l.closeProbe(mean)
 		return
 	}
 	l.learnBaseline(mean, reached)
@@ -123,10 +123,10 @@
 		l.congested, l.congestedSum = 0, 0
 	}
 	switch {
-	case l.congested >= trialAfter:
-		l.beginTrial(l.congestedSum / float64(l.congested))
-	case l.saturated >= trialEvery:
-		l.beginTrial(mean)
+	case l.congested >= probeAfter:
+		l.beginProbe(l.congestedSum / float64(l.congested))
+	case l.saturated >= probeEvery:
+		l.beginProbe(mean)
 	case reached && mean < comfortable*l.baseline:
 		l.current = min(l.maximum, l.current+math.Sqrt(l.current))
 	}
@@ -149,29 +149,29 @@
 	}
 }
 
-// beginTrial lowers the limit to see whether the time follows. That happens
+// beginProbe lowers the limit to see whether the time follows. That happens
 // when the time has been high for some windows, and now and then while the
 // limit is used all the time, so that a wrong baseline does not last.
-func (l *Limit) beginTrial(mean float64) {
+func (l *Limit) beginProbe(mean float64) {
 	l.congested, l.congestedSum, l.saturated = 0, 0, 0
-	l.trial = trial{active: true, before: mean, limit: l.current, skip: true}
-	l.current = max(l.minimum, l.current*trialShare)
+	l.probe = probe{active: true, before: mean, limit: l.current, skip: true}
+	l.current = max(l.minimum, l.current*probeShare)
 }
 
-// closeTrial ends a trial after its second window. When the time did not follow
+// closeProbe ends a probe after its second window. When the time did not follow
 // the limit, the back end is slow at any load: that is its new time at low load,
 // and the limit is put back.
-func (l *Limit) closeTrial(mean float64) {
-	if l.trial.skip {
-		l.trial.skip = false
+func (l *Limit) closeProbe(mean float64) {
+	if l.probe.skip {
+		l.probe.skip = false
 		return
 	}
-	ended := l.trial
-	l.trial = trial{}
-	if mean > trialFollows*ended.before {
+	ended := l.probe
+	l.probe = probe{}
+	if mean > probeFollows*ended.before {
 		l.baseline = mean
 		l.current = min(l.maximum, max(ended.limit, l.minimum))
 		return
 	}
-	l.baseline = min(l.baseline, mean) // the limit stays where the trial put it
+	l.baseline = min(l.baseline, mean) // the limit stays where the probe put it
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,21 +1,20 @@
 package admission
 
-// ticketHeap orders waiting requests: the highest class first, within a class
-// those that are committed, then the highest priority, among equals the newest.
-// Unordered: oldest first.
-type ticketHeap struct {
-	tickets   []*Ticket
-	unordered bool
+// ticketQueue is a heap of waiting requests: the highest class first, within a class
+// those that are committed, then the highest priority, among equals the newest, which
+// has the most time left.
+type ticketQueue struct {
+	tickets []*Ticket
 }
 
-func (h *ticketHeap) Len() int { return len(h.tickets) }
+// notQueued is the position of a ticket that does not wait.
+const notQueued = -1
 
-func (h *ticketHeap) Less(i, j int) bool { return h.before(h.tickets[i], h.tickets[j]) }
+func (q *ticketQueue) Len() int { return len(q.tickets) }
 
-func (h *ticketHeap) before(a, b *Ticket) bool {
-	if h.unordered {
-		return a.sequence < b.sequence
-	}
+func (q *ticketQueue) Less(i, j int) bool { return q.before(q.tickets[i], q.tickets[j]) }
+
+func (q *ticketQueue) before(a, b *Ticket) bool {
 	if classA, classB := ClassOf(a.Priority), ClassOf(b.Priority); classA != classB {
 		return classA > classB
 	}
@@ -28,55 +27,55 @@
 	return a.sequence > b.sequence
 }
 
-func (h *ticketHeap) Swap(i, j int) {
-	h.tickets[i], h.tickets[j] = h.tickets[j], h.tickets[i]
-	h.tickets[i].position = i
-	h.tickets[j].position = j
+func (q *ticketQueue) Swap(i, j int) {
+	q.tickets[i], q.tickets[j] = q.tickets[j], q.tickets[i]
+	q.tickets[i].position = i
+	q.tickets[j].position = j
 }
 
 // Push implements heap.Interface.
-func (h *ticketHeap) Push(value any) {
+func (q *ticketQueue) Push(value any) {
 	ticket, _ := value.(*Ticket)
-	ticket.position = len(h.tickets)
-	h.tickets = append(h.tickets, ticket)
+	ticket.position = len(q.tickets)
+	q.tickets = append(q.tickets, ticket)
 }
 
 // Pop implements heap.Interface.
-func (h *ticketHeap) Pop() any {
-	last := len(h.tickets) - 1
-	ticket := h.tickets[last]
-	h.tickets[last] = nil
-	h.tickets = h.tickets[:last]
-	ticket.position = -1
+func (q *ticketQueue) Pop() any {
+	last := len(q.tickets) - 1
+	ticket := q.tickets[last]
+	q.tickets[last] = nil
+	q.tickets = q.tickets[:last]
+	ticket.position = notQueued
 	return ticket
 }
 
 // worst returns the request that would be served last.
-func (h *ticketHeap) worst() *Ticket {
-	return h.last(func(*Ticket) bool { return true })
+func (q *ticketQueue) worst() *Ticket {
+	return q.last(func(*Ticket) bool { return true })
 }
 
 // worstCommitted returns the last of those that are committed, nil when there is
 // none.
-func (h *ticketHeap) worstCommitted() *Ticket {
-	return h.last(func(ticket *Ticket) bool { return ticket.Committed })
+func (q *ticketQueue) worstCommitted() *Ticket {
+	return q.last(func(ticket *Ticket) bool { return ticket.Committed })
 }
 
 // last returns the last of the requests that fit.
-func (h *ticketHeap) last(fits func(*Ticket) bool) *Ticket {
+func (q *ticketQueue) last(fits func(*Ticket) bool) *Ticket {
 	var worst *Ticket
-	for _, ticket := range h.tickets {
-		if fits(ticket) && (worst == nil || h.before(worst, ticket)) {
+	for _, ticket := range q.tickets {
+		if fits(ticket) && (worst == nil || q.before(worst, ticket)) {
 			worst = ticket
 		}
 	}
 	return worst
 }
 
-// fresh returns the number of those that are not committed.
-func (h *ticketHeap) fresh() int {
+// uncommitted returns the number of those that are not committed.
+func (q *ticketQueue) uncommitted() int {
 	count := 0
-	for _, ticket := range h.tickets {
+	for _, ticket := range q.tickets {
 		if !ticket.Committed {
 			count++
 		}
@@ -84,12 +83,12 @@
 	return count
 }
 
-// bestFresh returns the first of those that are not committed, nil when there is
+// bestUncommitted returns the first of those that are not committed, nil when there is
 // none.
-func (h *ticketHeap) bestFresh() *Ticket {
+func (q *ticketQueue) bestUncommitted() *Ticket {
 	var best *Ticket
-	for _, ticket := range h.tickets {
-		if !ticket.Committed && (best == nil || h.before(ticket, best)) {
+	for _, ticket := range q.tickets {
+		if !ticket.Committed && (best == nil || q.before(ticket, best)) {
 			best = ticket
 		}
 	}
