--- a/admission/gate.go
+++ b/admission/gate.go
@@ -40,14 +40,16 @@
 //
 // It is not safe for concurrent use.
 type Gate struct {
-	config  GateConfig
-	share   float64
-	end     time.Time // of the window
-	sum     float64
-	samples int
-	before  float64 // pressure of the last window
+	config       GateConfig
+	share        float64   // that is admitted
+	windowEnd    time.Time // of the window that samples are gathered in
+	sum          float64   // of the pressure of its samples
+	samples      int
+	lastPressure float64 // of the last window with samples
 }
 
+// Constants of the gate. They are steps by windows of defaultGateWindow; estimates, except
+// where a comment gives a figure.
 const (
 	defaultGateWindow = 100 * time.Millisecond
 	defaultLeastShare = 0.05
@@ -57,7 +59,8 @@
 	// share may rise by quietStep in place of raiseStep: what a gate refuses after
 	// overload has ended is lost for nothing.
 	quietPressure = 0.25
-	quietStep     = 0.03
+	// 0.06 was tried: more requests failed.
+	quietStep = 0.03
 	// lowerStep is what the share falls by, as a part of it, for each 1 that the
 	// pressure is above 1, and mostLowered the most in a window.
 	lowerStep   = 0.01
@@ -76,7 +79,7 @@
 // NewGate returns a Gate that admits everything.
 func NewGate(now time.Time, config GateConfig) *Gate {
 	config.setDefaults()
-	return &Gate{config: config, share: 1, end: now.Add(config.Window)}
+	return &Gate{config: config, share: 1, windowEnd: now.Add(config.Window)}
 }
 
 // Share returns the share that is admitted, 0 to 1.
@@ -107,15 +110,15 @@
 // adjust closes the window when its time is over. One without samples goes on until
 // there is one: no evidence of pressure is no evidence of room.
 func (g *Gate) adjust(now time.Time) {
-	if now.Before(g.end) {
+	if now.Before(g.windowEnd) {
 		return
 	}
-	windows := 1 + int(now.Sub(g.end)/g.config.Window)
+	windows := 1 + int(now.Sub(g.windowEnd)/g.config.Window)
 	if g.samples == 0 {
 		g.tryOpening(windows - probeAfterWindows)
 		return
 	}
-	g.end = g.end.Add(time.Duration(windows) * g.config.Window)
+	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * g.config.Window)
 	pressure := g.sum / float64(g.samples)
 	g.sum, g.samples = 0, 0
 	counted := float64(min(windows, mostWindows))
@@ -124,10 +127,10 @@
 		g.share += quietStep * (1 - pressure) * counted
 	case pressure <= 1:
 		g.share += raiseStep * (1 - pressure) * counted
-	case pressure > g.before*fallingShare:
+	case pressure > g.lastPressure*fallingShare:
 		g.share *= math.Pow(1-min(lowerStep*(pressure-1), mostLowered), counted)
 	}
-	g.before = pressure
+	g.lastPressure = pressure
 	g.bound()
 }
 
@@ -137,7 +140,7 @@
 	if windows <= 0 {
 		return
 	}
-	g.end = g.end.Add(time.Duration(windows) * g.config.Window)
+	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * g.config.Window)
 	g.share += raiseStep * float64(windows)
 	g.bound()
 }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -38,22 +38,26 @@
 	skip   bool    // the first window still sees older requests
 }
 
+// Constants of the limit. docs/design/overload.md has the runs in virtual time that some
+// come from (probes at 0.7 in place of 0.5 of the limit: 0.96 in place of 0.90 of the
+// requests that could complete did); the others are estimates.
 const (
-	windowTime         = 100 * time.Millisecond
-	windowSamples      = 16   // fewer samples make the window longer
-	probeSamples       = 40   // the same for the window of a probe
-	tolerance          = 1.5  // growth of the time that counts as queueing
-	comfortable        = 1.2  // growth of the time up to which the limit may grow
-	initialLimit       = 20.0 // until something is known
-	reachedShare       = 0.8  // of the limit that must be used for it to grow
-	probeAfter         = 2    // congested windows before a probe
-	probeEvery         = 30   // windows with a used limit before a probe
-	probeShare         = 0.7  // of the limit during a probe
-	probeFollows       = 0.85 // the time follows when it falls below this share
-	baselineFall       = 0.1  // share by which the baseline follows a lower time
-	baselineDrop       = 0.5  // the same when the time is far lower
-	baselineRise       = 0.05 // share by which it follows a higher one
-	longestEmptyWindow = 5 * time.Second
+	windowTime    = 100 * time.Millisecond // of a window, at least
+	windowSamples = 16                     // fewer samples make the window longer
+	probeSamples  = 40                     // the same for the window of a probe
+	tolerance     = 1.5                    // growth of the time that counts as queueing
+	comfortable   = 1.2                    // growth of the time up to which the limit may grow
+	initialLimit  = 20.0                   // until something is known
+	refusedShare  = 0.9                    // of the limit that is left when the back end refuses as overloaded
+	reachedShare  = 0.8                    // of the limit that must be used for it to grow
+	probeAfter    = 2                      // congested windows before a probe
+	probeEvery    = 30                     // windows with a used limit before a probe
+	probeShare    = 0.7                    // of the limit during a probe
+	probeFollows  = 0.85                   // the time follows when it falls below this share
+	baselineFall  = 0.1                    // share by which the baseline follows a lower time
+	baselineDrop  = 0.5                    // the same when the time is far lower
+	baselineRise  = 0.05                   // share by which it follows a higher one
+	longestWindow = 5 * time.Second        // however slow the back end is
 )
 
 // NewLimit returns a Limit between minimum and maximum.
@@ -80,7 +84,7 @@
 // whether the back end refused it because it is overloaded.
 func (l *Limit) Finished(now time.Time, own time.Duration, refused bool) {
 	if refused {
-		l.current = max(l.minimum, l.current*0.9)
+		l.current = max(l.minimum, l.current*refusedShare)
 		return
 	}
 	l.sum += own.Seconds()
@@ -104,14 +108,27 @@
 func (l *Limit) closeWindow(now time.Time) {
 	mean := l.sum / float64(l.count)
 	reached := float64(l.peak) >= float64(l.Current())*reachedShare
-	l.sum, l.count, l.peak = 0, 0, 0
-	length := time.Duration(2 * mean * float64(time.Second))
-	l.windowEnd = now.Add(min(max(windowTime, length), longestEmptyWindow))
+	l.openWindow(now, mean)
 	if l.probe.active {
 		l.closeProbe(mean)
 		return
 	}
 	l.learnBaseline(mean, reached)
+	l.countWindow(mean, reached)
+	l.adapt(mean, reached)
+}
+
+// openWindow begins a window of at least two usual times, so that it sees requests that
+// were started under the limit of now.
+func (l *Limit) openWindow(now time.Time, mean float64) {
+	l.sum, l.count, l.peak = 0, 0, 0
+	length := time.Duration(2 * mean * float64(time.Second))
+	l.windowEnd = now.Add(min(max(windowTime, length), longestWindow))
+}
+
+// countWindow counts the windows in a row in which the limit was used, and those in which
+// the time was above the tolerance.
+func (l *Limit) countWindow(mean float64, reached bool) {
 	l.saturated++
 	if !reached {
 		l.saturated = 0
@@ -122,6 +139,11 @@
 	} else {
 		l.congested, l.congestedSum = 0, 0
 	}
+}
+
+// adapt begins a probe when one is due, and lets the limit grow while it is used and the
+// time is near that at low load.
+func (l *Limit) adapt(mean float64, reached bool) {
 	switch {
 	case l.congested >= probeAfter:
 		l.beginProbe(l.congestedSum / float64(l.congested))
