--- a/claims/replica.go
+++ b/claims/replica.go
@@ -79,16 +79,16 @@
 
 // groupState is what a process keeps of one group.
 type groupState struct {
-	group   Group           // the highest epoch known
-	votes   uint64          // the epoch at which this process votes, 0 for none
-	voted   uint64          // the last epoch at which it voted
-	claims  map[Key]*held   // of this and earlier epochs
-	sources map[string]bool // replicas of the epoch before whose claims are here
-	votesAt time.Time       // after a reset, when it starts to vote
-	retired time.Time       // when it ceased to be a replica
-	seat    string          // the replica in whose place this process votes, "" for itself
-	moved   uint64          // the epoch at which it gave its place away
-	taken   Seat            // the place of another that it took last
+	group      Group           // the highest epoch known
+	votes      uint64          // the epoch at which this process votes, 0 for none
+	voted      uint64          // the last epoch at which it voted
+	claims     map[Key]*held   // of this and earlier epochs
+	sources    map[string]bool // replicas of the epoch before whose claims are here
+	votesAt    time.Time       // after a reset, when it starts to vote
+	retired    time.Time       // when it ceased to be a replica
+	votesFor   string          // the other replica whose vote this process has, "" for none
+	gaveVoteAt uint64          // the epoch at which it gave its vote away
+	takenVote  Vote            // the vote of another that it took last
 }
 
 // ReplicaConfig configures a Replica.
@@ -149,7 +149,7 @@
 	wasVoter := state.votes == state.group.Epoch && state.votes > 0
 	before, votedAs := state.group, r.votesAs(state)
 	state.group = group
-	state.seat = ""
+	state.votesFor = ""
 	state.votes = 0
 	state.sources = map[string]bool{}
 	if !has(group.Replicas, r.config.Self.ID) {
@@ -167,7 +167,7 @@
 
 // activate starts to vote once enough claims have been collected.
 func (r *Replica) activate(now time.Time, state *groupState) {
-	if !has(state.group.Replicas, r.config.Self.ID) || state.votes == state.group.Epoch || state.moved == state.group.Epoch {
+	if !has(state.group.Replicas, r.config.Self.ID) || state.votes == state.group.Epoch || state.gaveVoteAt == state.group.Epoch {
 		return
 	}
 	if state.group.Reset && now.Before(state.votesAt) {
--- a/claims/safety_test.go
+++ b/claims/safety_test.go
@@ -39,7 +39,7 @@
 type unsafeRules struct {
 	noFence    bool // replicas vote at old epochs
 	noTransfer bool // new replicas vote at once
-	keepSeat   bool // who gave its place away goes on voting
+	keepVote   bool // who gave its vote away goes on voting
 }
 
 // simulatedRound is one claim of a runner.
@@ -109,39 +109,39 @@
 	}
 }
 
-// holder returns who is asked for a place: who holds it, or, as a runner does
+// holder returns who is asked for a vote: who has it, or, as a runner does
 // that has not heard of a move, the replica itself.
-func (w *world) holder(place string, epoch uint64) string {
+func (w *world) holder(replica string, epoch uint64) string {
 	for _, id := range w.running() {
-		for _, seat := range w.replicas[id].Seats() {
-			if seat.Of == place && seat.Epoch == epoch && rapid.IntRange(0, 2).Draw(w.t, "heard") > 0 {
+		for _, vote := range w.replicas[id].TakenVotes() {
+			if vote.Replica == replica && vote.Epoch == epoch && rapid.IntRange(0, 2).Draw(w.t, "heard") > 0 {
 				return id
 			}
 		}
 	}
-	return place
+	return replica
 }
 
-// move hands the place of one replica to another process. The message may be
-// lost; then the place is.
+// move hands the vote of one replica to another process. The message may be
+// lost; then the vote is.
 func (w *world) move() {
 	giver, taker := w.replicas[w.pick("giver")], w.replicas[w.pick("taker")]
-	places := giver.Places()
-	if len(places) == 0 || giver == taker {
+	votes := giver.HeldVotes()
+	if len(votes) == 0 || giver == taker {
 		return
 	}
 	before := giver.groups[0].voted
-	handed, ok := giver.GiveSeat(w.now, places[0])
-	if w.unsafe.keepSeat && ok {
-		giver.groups[0].votes, giver.groups[0].voted, giver.groups[0].moved = places[0].Epoch, before, 0
+	handed, ok := giver.GiveVote(w.now, votes[0])
+	if w.unsafe.keepVote && ok {
+		giver.groups[0].votes, giver.groups[0].voted, giver.groups[0].gaveVoteAt = votes[0].Epoch, before, 0
 	}
 	if ok {
-		w.mail = append(w.mail, func() { taker.TakeSeat(w.now, places[0], handed) })
+		w.mail = append(w.mail, func() { taker.TakeVote(w.now, votes[0], handed) })
 	}
 }
 
-// ask delivers a claim to the holder of one place, and its reply.
-func (w *world) ask(r *simulatedRound, place, id string) {
+// ask delivers a claim to the holder of one vote, and its reply.
+func (w *world) ask(r *simulatedRound, voter, id string) {
 	replica := w.replicas[id]
 	if replica == nil {
 		return
@@ -153,10 +153,10 @@
 		replica.groups[0].votes = replica.groups[0].group.Epoch
 	}
 	reply := replica.Ask(w.now, 0, r.group.Epoch, Claim{Key: NewKey("key"), Run: r.run, Runner: process("x"), Abandoned: r.abandoned})
-	if r.over || r.seen[place] || rapid.IntRange(0, 4).Draw(w.t, "reply lost") == 0 {
+	if r.over || r.seen[voter] || rapid.IntRange(0, 4).Draw(w.t, "reply lost") == 0 {
 		return // a reply counts once
 	}
-	r.seen[place] = true
+	r.seen[voter] = true
 	if r.round.Reply(reply) == Won {
 		w.winners[r.run] = true
 	}
@@ -263,7 +263,7 @@
 	}{
 		{"replicas vote at old epochs", unsafeRules{noFence: true}},
 		{"new replicas vote at once", unsafeRules{noTransfer: true}},
-		{"a place has two holders", unsafeRules{keepSeat: true}},
+		{"a place has two holders", unsafeRules{keepVote: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/claims/transfer.go
+++ b/claims/transfer.go
@@ -26,7 +26,7 @@
 	for i := range r.groups {
 		state := &r.groups[i]
 		isReplica := has(state.group.Replicas, r.config.Self.ID)
-		if state.votes == state.group.Epoch || state.moved == state.group.Epoch || !isReplica {
+		if state.votes == state.group.Epoch || state.gaveVoteAt == state.group.Epoch || !isReplica {
 			continue
 		}
 		for _, source := range state.group.Previous {
@@ -111,7 +111,7 @@
 func (r *Replica) Forget(now time.Time) {
 	for i := range r.groups {
 		state := &r.groups[i]
-		left := !has(state.group.Replicas, r.config.Self.ID) && state.seat == ""
+		left := !has(state.group.Replicas, r.config.Self.ID) && state.votesFor == ""
 		if !left || len(state.claims) == 0 || now.Sub(state.retired) < r.config.Retention {
 			continue
 		}
--- a/kernel/services.go
+++ b/kernel/services.go
@@ -31,7 +31,7 @@
 type Mesh interface {
 	// SetState announces whether this process leaves and its back end is down.
 	SetState(leaving, down bool)
-	// SetPlaces announces the claim group places of others that this process holds.
+	// SetPlaces announces the votes of other replicas that this process has in claim groups.
 	SetPlaces(places []string)
 	// SetSeeds replaces the addresses at which the mesh is looked for.
 	SetSeeds(seeds []string)
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -153,7 +153,7 @@
 	return counts
 }
 
-// holders returns the processes that hold places in any group, each once.
+// holders returns the processes that have votes in any group, each once.
 func (o *once) holders(document *claims.Groups) []claims.Process {
 	seen := map[string]bool{}
 	all := []claims.Process{}
@@ -184,25 +184,25 @@
 	if len(kernel.LiveIDs(*o.process.Members.Load())) == 0 {
 		return // nobody could take over
 	}
-	deadline := time.Now().Add(seatPatience)
+	deadline := time.Now().Add(replacementPatience)
 	for ctx.Err() == nil {
 		document := o.groups.Load()
 		if document == nil || o.released(ctx, document) {
 			return
 		}
 		if time.Now().After(deadline) { // the store does not answer
-			o.handOverPlaces(ctx)
+			o.handOverVotes(ctx)
 			return
 		}
 		kernel.Pause(ctx, collectInterval)
 	}
 }
 
-// released reports whether this process holds no place in any group, its own or
-// one that it took over, and all groups vote without it.
+// released reports whether this process has no vote in any group, its own or one that it
+// took, and all groups vote without it.
 func (o *once) released(ctx context.Context, document *claims.Groups) bool {
-	places, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Seat { return o.replica.Places() })
-	if err != nil || len(places) > 0 {
+	votes, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
+	if err != nil || len(votes) > 0 {
 		return false
 	}
 	for _, holder := range o.holders(document) {
--- a/plugin/once/planner.go
+++ b/plugin/once/planner.go
@@ -124,11 +124,11 @@
 			live[member.Control] = true
 		}
 	}
-	held := map[string]bool{} // replicas whose places live members have taken over
+	represented := map[string]bool{} // replicas whose votes live members have taken
 	for _, member := range members {
-		for _, place := range member.Places {
-			if _, of, found := cutPlace(place); found && member.Status != membership.Dead {
-				held[of] = true
+		for _, vote := range member.Places {
+			if _, replica, found := cutVoteName(vote); found && member.Status != membership.Dead {
+				represented[replica] = true
 			}
 		}
 	}
@@ -141,9 +141,9 @@
 			Process: claims.Process{ID: member.ID, Control: member.Control},
 			Region:  member.Region,
 			Zone:    member.Zone,
-			Alive:   alive || held[member.ID],
+			Alive:   alive || represented[member.ID],
 			Leaving: member.Leaving || !alive,
-			Gone:    (replaced || unlisted) && !held[member.ID],
+			Gone:    (replaced || unlisted) && !represented[member.ID],
 		})
 	}
 	return candidates
--- a/plugin/once/setup.go
+++ b/plugin/once/setup.go
@@ -39,7 +39,7 @@
 	process.HandleControl("POST "+wire.PathFinish, o.serveFinish)
 	process.HandleControl("POST "+wire.PathHandOver, o.serveHandOver)
 	process.HandleControl("POST "+wire.PathOutcome, o.serveOutcome)
-	process.HandleControl("POST "+wire.PathSeat, o.serveSeat)
+	process.HandleControl("POST "+wire.PathVote, o.serveVote)
 	process.HandleControl("GET "+wire.PathClaimStatus, o.serveClaimStatus)
 	process.Loop.Every(housekeepingInterval, o.housekeeping)
 	process.OnStart(o.collectClaims)
@@ -72,7 +72,7 @@
 		o.groups.Store(document)
 		o.process.Log.Emit(event.ClaimGroupAdopted, "revision", document.Revision, "groups", len(document.Groups))
 		o.wakeCollector()
-		o.announceSeats()
+		o.announceVotes()
 	}
 }
 
--- a/wire/claims.go
+++ b/wire/claims.go
@@ -11,7 +11,7 @@
 	PathHandOver    = "/v1/claims/hand-over"
 	PathOutcome     = "/v1/claims/outcome"
 	PathClaimStatus = "/v1/claims/status"
-	PathSeat        = "/v1/claims/seat"
+	PathVote        = "/v1/claims/seat"
 )
 
 // ClaimRequest asks a replica for a claim.
@@ -50,15 +50,15 @@
 	Claims []claims.Transferred `json:"claims"`
 }
 
-// SeatRequest hands a place in a claim group to another process.
-type SeatRequest struct {
-	Seat     claims.Seat          `json:"seat"`
+// VoteTransfer hands the vote of a replica, with its claims, to another process.
+type VoteTransfer struct {
+	Vote     claims.Vote          `json:"seat"`
 	Claims   []claims.Transferred `json:"claims"`
 	Document []byte               `json:"document"` // see HandOverRequest
 }
 
-// SeatReply is the answer.
-type SeatReply struct {
+// VoteTransferReply is the answer: OK is false when the process refuses the vote.
+type VoteTransferReply struct {
 	OK bool `json:"ok"`
 }
 
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -32,8 +32,8 @@
 		"claim-status.jsonl":      golden.Message[wire.ClaimStatus],
 		"hand-over-request.jsonl": golden.Message[wire.HandOverRequest],
 		"hand-over-reply.jsonl":   golden.Message[wire.HandOverReply],
-		"seat-request.jsonl":      golden.Message[wire.SeatRequest],
-		"seat-reply.jsonl":        golden.Message[wire.SeatReply],
+		"seat-request.jsonl":      golden.Message[wire.VoteTransfer],
+		"seat-reply.jsonl":        golden.Message[wire.VoteTransferReply],
 		"outcome-request.jsonl":   golden.Message[wire.OutcomeRequest],
 		"outcome-reply.jsonl":     golden.Message[wire.OutcomeReply],
 	} {
@@ -95,7 +95,7 @@
 		{wire.PathHandOver, "/v1/claims/hand-over"},
 		{wire.PathOutcome, "/v1/claims/outcome"},
 		{wire.PathClaimStatus, "/v1/claims/status"},
-		{wire.PathSeat, "/v1/claims/seat"},
+		{wire.PathVote, "/v1/claims/seat"},
 		{string(wire.DocumentPolicy), "policy"},
 		{string(wire.DocumentGroups), "claim-groups"},
 	} {
