--- a/kernel/answer.go
+++ b/kernel/answer.go
@@ -40,7 +40,7 @@
 // holdBody reads a body, up to what is kept of an answer, before its head goes out.
 // One that breaks off becomes a failure, so that the connection can go on.
 func holdBody(answer *http.Response) error {
-	data, err := io.ReadAll(io.LimitReader(answer.Body, maximumAhead))
+	data, err := io.ReadAll(io.LimitReader(answer.Body, maximumBuffered))
 	if err != nil {
 		_ = answer.Body.Close()
 		return brokenOff()
--- a/kernel/caller.go
+++ b/kernel/caller.go
@@ -1,8 +1,6 @@
 package kernel
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"errors"
 	"net"
@@ -13,7 +11,7 @@
 )
 
 // starter begins to serve a request before its turn, nil when it must wait.
-type starter func(ctx context.Context, r *http.Request) *ahead
+type starter func(ctx context.Context, r *http.Request) *pipelined
 
 // callerListener accepts the connections of callers as callerConns.
 type callerListener struct {
@@ -36,7 +34,7 @@
 // that is being served.
 //
 // It gives the server one request at a time and keeps what comes behind it. Requests
-// behind one that reads only are served ahead of their turn, if they may be. The read
+// behind one that reads only are served beside it, if they may be. The read
 // of one byte by which the server looks for the end of the connection lasts until
 // that end, whatever comes.
 //
@@ -57,20 +55,21 @@
 	over    error           // the connection has ended so
 
 	mutex     sync.Mutex
-	queue     []*ahead // in the order of the connection
-	parsed    int      // bytes of kept that belong to requests that were begun
-	wasBegun  bool     // the request that the server has is the first of the queue
-	answering bool     // the answer to the request that the server has goes out
-	behind    bool     // the server has a byte of a later request
-	gone      func()   // of the request that is being served, nil between requests
+	queue     []*pipelined // in the order of the connection
+	parsed    int          // bytes of kept that belong to requests that were begun
+	wasBegun  bool         // the request that the server has is the first of the queue
+	answering bool         // the answer to the request that the server has goes out
+	behind    bool         // the server has a byte of a later request
+	gone      func()       // of the request that is being served, nil between requests
 	look      *time.Timer
 }
 
-// Bounds of what is served ahead.
+// Bounds of what is kept of a connection. With them a caller that sends many requests and
+// reads no answer costs a bounded amount of memory.
 const (
-	maximumQueue  = 8
-	maximumKept   = 16 << 10 // bytes
-	readAheadSize = 1 << 10  // bytes
+	maximumPipelined = 8
+	maximumKept      = 16 << 10 // bytes
+	watchBufferSize  = 1 << 10  // bytes
 )
 
 // Read implements net.Conn.
@@ -130,14 +129,14 @@
 // is given a byte, which ends its look.
 func (c *callerConn) watchEnd(data []byte) (int, error) {
 	for {
-		c.runAhead()
+		c.startPipelined()
 		if len(c.kept) >= maximumKept {
 			n := c.give(data)
 			c.foundMore()
 			return n, nil
 		}
 		if c.buffer == nil {
-			c.buffer = make([]byte, readAheadSize)
+			c.buffer = make([]byte, watchBufferSize)
 		}
 		n, err := c.Conn.Read(c.buffer)
 		if err != nil {
@@ -158,94 +157,6 @@
 	c.cancel()
 }
 
-// runAhead begins with the requests that are kept whole, as long as each of them and
-// the one that the server has read only.
-func (c *callerConn) runAhead() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	for c.simple && !c.answering && len(c.queue) < maximumQueue && c.parsed < len(c.kept) {
-		var scanner boundaryScanner
-		raw := c.kept[c.parsed:]
-		next := scanner.next(raw)
-		if !next.whole || !next.simple {
-			return
-		}
-		request := parseRequest(raw[:next.length])
-		if request == nil {
-			return
-		}
-		request.RemoteAddr = c.RemoteAddr().String()
-		started := c.start(c.context, request)
-		if started == nil {
-			return
-		}
-		c.queue = append(c.queue, started)
-		c.parsed += next.length
-	}
-}
-
-// parseRequest reads a request without a body, nil when it is malformed or closes
-// the connection.
-func parseRequest(raw []byte) *http.Request {
-	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
-	if err != nil || request.Close || request.Host == "" || !request.ProtoAtLeast(1, 1) {
-		return nil
-	}
-	request.Body = http.NoBody
-	return request
-}
-
-// takeAhead returns the service of a request that was begun before its turn, nil
-// when there is none.
-func (c *callerConn) takeAhead(r *http.Request, idHeader string) *ahead {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if !c.wasBegun || len(c.queue) == 0 {
-		return nil // those of the queue come behind it
-	}
-	c.wasBegun = false
-	first := c.queue[0]
-	c.queue = c.queue[1:]
-	if !first.is(r, idHeader) {
-		c.dropAhead(first)
-		return nil
-	}
-	return first
-}
-
-// dropAhead gives up all that was begun. The mutex is held.
-func (c *callerConn) dropAhead(first *ahead) {
-	first.cancel()
-	for _, other := range c.queue {
-		other.cancel()
-	}
-	c.queue = nil
-}
-
-// nextRequest takes note that the server has come to the next request.
-func (c *callerConn) nextRequest() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.answering = false
-}
-
-// beginAnswer takes note that the answer to the request that the server has begins to
-// go out, from when on nothing is begun behind it. It reports whether something was,
-// which would be lost with the connection.
-func (c *callerConn) beginAnswer() (behind bool) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.answering = true
-	return len(c.queue) > 0
-}
-
-// beginAnswer takes note that the answer to a request begins to go out, and reports
-// whether requests behind it on its connection have been begun.
-func beginAnswer(r *http.Request) (behind bool) {
-	conn := callerConnOf(r)
-	return conn != nil && conn.beginAnswer()
-}
-
 // Close implements net.Conn. What was begun on the connection is given up.
 func (c *callerConn) Close() error {
 	c.cancel()
--- a/kernel/counters.go
+++ b/kernel/counters.go
@@ -12,8 +12,8 @@
 
 // Counters are the counts that the kernel keeps.
 type Counters struct {
-	Retries atomic.Int64
-	Ahead   atomic.Int64
+	Retries   atomic.Int64
+	Pipelined atomic.Int64
 	// LoadsNotUnderstood counts answers of the back end with a load that makes no sense.
 	LoadsNotUnderstood atomic.Int64
 	Suspended          atomic.Int64 // milliseconds
@@ -46,7 +46,7 @@
 	}, []string{"direction"})
 	registry.MustRegister(c.requests, c.latency,
 		counterOf("loomcleat_retries_total", "Attempts after the first one that this process made.", &c.Retries),
-		counterOf("loomcleat_requests_ahead_total", "Requests that were served before their turn on a caller's connection.", &c.Ahead),
+		counterOf("loomcleat_requests_ahead_total", "Requests that were served before their turn on a caller's connection.", &c.Pipelined),
 		counterOf("loomcleat_loads_not_understood_total", "Answers of the back end with a load that makes no sense.", &c.LoadsNotUnderstood),
 		counterOf("loomcleat_suspended_milliseconds_total", "Time in which the machine was suspended.", &c.Suspended),
 		counterOf("loomcleat_control_sent_bytes_total", "Bytes written on control connections.", &c.ControlSent),
--- a/kernel/outbound.go
+++ b/kernel/outbound.go
@@ -98,7 +98,7 @@
 
 // serveEntry serves a caller outside the mesh or a call of the own back end.
 func (p *Process) serveEntry(w http.ResponseWriter, r *http.Request) {
-	if p.passAhead(w, r) {
+	if p.passPipelined(w, r) {
 		return
 	}
 	p.serve(w, r, directionOutbound, p.outbound, p.entryCall)
--- a/kernel/ahead.go
+++ b/kernel/pipelined.go
@@ -9,14 +9,13 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// ahead is a request that is served before its turn: its caller has sent it behind
-// another one on the same connection and waits for both. Its answer is kept until
-// the server comes to the request and takes it. It is the http.ResponseWriter of the
-// request.
+// pipelined is a request that its caller has sent behind another one on the same
+// connection, and that is served beside it. Its answer is kept until the server comes to
+// the request and takes it. It is the http.ResponseWriter of the request.
 //
 // Without it, Go's server begins with a request when the one before it has been
 // answered, so that the last one of a row waits for all of them.
-type ahead struct {
+type pipelined struct {
 	request *http.Request
 	cancel  context.CancelFunc
 
@@ -30,11 +29,12 @@
 	broken  bool // the answer is not whole
 }
 
-// maximumAhead bounds the bytes of an answer that wait to be taken.
-const maximumAhead = 64 << 10
+// maximumBuffered bounds the bytes of an answer that wait to be taken: the memory that a
+// pipelined request costs while its caller reads the answers before it.
+const maximumBuffered = 64 << 10
 
-func newAhead(request *http.Request, cancel context.CancelFunc) *ahead {
-	a := &ahead{request: request, cancel: cancel, header: http.Header{}}
+func newPipelined(request *http.Request, cancel context.CancelFunc) *pipelined {
+	a := &pipelined{request: request, cancel: cancel, header: http.Header{}}
 	a.changed.L = &a.mutex
 	// A handler that waits for room goes on when the request is given up.
 	context.AfterFunc(request.Context(), func() {
@@ -46,17 +46,17 @@
 }
 
 // Header implements http.ResponseWriter.
-func (a *ahead) Header() http.Header { return a.header }
+func (a *pipelined) Header() http.Header { return a.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *ahead) WriteHeader(status int) {
+func (a *pipelined) WriteHeader(status int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.begin(status)
 }
 
 // begin fixes the head of the answer. The mutex is held.
-func (a *ahead) begin(status int) {
+func (a *pipelined) begin(status int) {
 	if a.status != 0 || status < http.StatusOK {
 		return
 	}
@@ -67,11 +67,11 @@
 }
 
 // Write implements http.ResponseWriter. It waits while too much is to be taken.
-func (a *ahead) Write(data []byte) (int, error) {
+func (a *pipelined) Write(data []byte) (int, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.begin(http.StatusOK)
-	for len(a.body) >= maximumAhead && a.request.Context().Err() == nil {
+	for len(a.body) >= maximumBuffered && a.request.Context().Err() == nil {
 		a.changed.Wait()
 	}
 	if err := a.request.Context().Err(); err != nil {
@@ -83,7 +83,7 @@
 }
 
 // end ends the answer.
-func (a *ahead) end(broken bool) {
+func (a *pipelined) end(broken bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if !broken {
@@ -94,7 +94,7 @@
 }
 
 // run lets a handler answer the request.
-func (a *ahead) run(handler http.Handler) {
+func (a *pipelined) run(handler http.Handler) {
 	broken := true
 	defer func() {
 		if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
@@ -107,7 +107,7 @@
 }
 
 // is reports whether a request that the server has come to is this one.
-func (a *ahead) is(r *http.Request, idHeader string) bool {
+func (a *pipelined) is(r *http.Request, idHeader string) bool {
 	return a.request.Method == r.Method && a.request.Host == r.Host && a.request.RequestURI == r.RequestURI &&
 		(idHeader == "" || a.request.Header.Get(idHeader) == r.Header.Get(idHeader))
 }
@@ -116,7 +116,7 @@
 // is whole: if it breaks off, the caller gets a failure in its place, and what waits
 // behind it on the connection is not lost. A longer one is passed on as it comes and
 // breaks the connection if it breaks off.
-func (a *ahead) passOn(w http.ResponseWriter) {
+func (a *pipelined) passOn(w http.ResponseWriter) {
 	defer a.cancel()
 	if a.awaitWhole() {
 		brokenOff().WriteHTTP(w)
@@ -144,10 +144,10 @@
 
 // awaitWhole waits until the answer is whole, or more than is kept. It reports
 // whether it broke off before that.
-func (a *ahead) awaitWhole() (broken bool) {
+func (a *pipelined) awaitWhole() (broken bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for !a.ended && len(a.body) < maximumAhead {
+	for !a.ended && len(a.body) < maximumBuffered {
 		a.changed.Wait()
 	}
 	return a.broken
@@ -155,7 +155,7 @@
 
 // take waits for a part of the body and removes it. It reports whether it was the
 // last one.
-func (a *ahead) take() (data []byte, last bool) {
+func (a *pipelined) take() (data []byte, last bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for len(a.body) == 0 && !a.ended {
@@ -170,7 +170,7 @@
 }
 
 // passTrailers sets the trailers that the handler has set after the body.
-func (a *ahead) passTrailers(header http.Header) {
+func (a *pipelined) passTrailers(header http.Header) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for name, values := range a.header {
@@ -179,51 +179,3 @@
 		}
 	}
 }
-
-// mayRunAhead reports whether a request may be served before its turn: when its
-// route says that it may be repeated, so that a caller who never gets the answer can
-// send it again.
-func (p *Process) mayRunAhead(r *http.Request) bool {
-	if !p.Ready() || p.Leaving() {
-		return false
-	}
-	route := p.Policy.Load().Routes().Find(hostName(r.Host), r.URL.EscapedPath())
-	return route != nil && route.Repeatable
-}
-
-// startAhead begins to serve a request before its turn, nil when it must wait.
-func (p *Process) startAhead(ctx context.Context, r *http.Request) *ahead {
-	if !p.mayRunAhead(r) {
-		return nil
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	started := newAhead(r.WithContext(ctx), cancel)
-	p.Counters.Ahead.Add(1)
-	p.Go(func() {
-		started.run(http.HandlerFunc(p.serveEntry))
-		<-ctx.Done() // a stopping process waits until the answer has been passed on
-	})
-	return started
-}
-
-// passAhead passes on the answer to a request that was begun before its turn. It
-// reports whether there is one.
-func (p *Process) passAhead(w http.ResponseWriter, r *http.Request) bool {
-	conn := callerConnOf(r)
-	if conn == nil {
-		return false
-	}
-	begun := conn.takeAhead(r, p.Dialect.RequestID)
-	if begun == nil {
-		return false
-	}
-	conn.nextRequest()
-	p.inFlight.Add(1)
-	defer p.inFlight.Add(-1)
-	begun.awaitWhole()
-	if behind := conn.beginAnswer(); !behind && p.Leaving() {
-		w.Header().Set("Connection", "close")
-	}
-	begun.passOn(w)
-	return true
-}
--- a/kernel/ahead_test.go
+++ b/kernel/pipelined_test.go
@@ -16,16 +16,16 @@
 	"github.com/matryer/is"
 )
 
-// aheadServer is a server whose connections serve requests ahead of their turn.
-type aheadServer struct {
+// pipelineServer is a server whose connections serve pipelined requests before their turn.
+type pipelineServer struct {
 	*httptest.Server
 	mutex   sync.Mutex
 	started []string // paths, in the order in which they were begun
 }
 
-func startAheadServer(t *testing.T, handler http.HandlerFunc) *aheadServer {
+func startPipelineServer(t *testing.T, handler http.HandlerFunc) *pipelineServer {
 	t.Helper()
-	s := &aheadServer{}
+	s := &pipelineServer{}
 	recorded := func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		s.started = append(s.started, r.URL.Path)
@@ -33,16 +33,16 @@
 		handler(w, r)
 	}
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if begun := callerConnOf(r).takeAhead(r, "X-Id"); begun != nil {
+		if begun := callerConnOf(r).takePipelined(r, "X-Id"); begun != nil {
 			begun.passOn(w)
 			return
 		}
 		recorded(w, r)
 	}))
 	s.Config.ConnContext = withConnection
-	s.Listener = callerListener{Listener: s.Listener, start: func(ctx context.Context, r *http.Request) *ahead {
+	s.Listener = callerListener{Listener: s.Listener, start: func(ctx context.Context, r *http.Request) *pipelined {
 		ctx, cancel := context.WithCancel(ctx)
-		begun := newAhead(r.WithContext(ctx), cancel)
+		begun := newPipelined(r.WithContext(ctx), cancel)
 		go begun.run(http.HandlerFunc(recorded))
 		return begun
 	}}
@@ -51,7 +51,7 @@
 	return s
 }
 
-func (s *aheadServer) paths() []string {
+func (s *pipelineServer) paths() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return append([]string{}, s.started...)
@@ -63,7 +63,7 @@
 	reader *bufio.Reader
 }
 
-func dialPipeliner(t *testing.T, s *aheadServer) *pipeliner {
+func dialPipeliner(t *testing.T, s *pipelineServer) *pipeliner {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
 	if err != nil {
@@ -98,7 +98,7 @@
 			is := is.New(t)
 			var all sync.WaitGroup
 			all.Add(3)
-			s := startAheadServer(t, func(w http.ResponseWriter, r *http.Request) {
+			s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
 				all.Done()
 				all.Wait()
 				w.WriteHeader(http.StatusAccepted)
@@ -124,7 +124,7 @@
 // the server has called the handler for it.
 func TestTheFirstOfARowTakesNoneOfTheOthers(t *testing.T) {
 	is := is.New(t)
-	s := startAheadServer(t, func(w http.ResponseWriter, r *http.Request) {
+	s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	served := s.Config.Handler
@@ -157,13 +157,13 @@
 // of them, is answered whole and in order.
 func TestARowThatIsLongerThanTheQueue(t *testing.T) {
 	is := is.New(t)
-	long := strings.Repeat("0123456789", maximumAhead/5)
-	s := startAheadServer(t, func(w http.ResponseWriter, r *http.Request) {
+	long := strings.Repeat("0123456789", maximumBuffered/5)
+	s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
 		_, _ = io.WriteString(w, long)
 	})
 	caller := dialPipeliner(t, s)
-	const count = 3 * maximumQueue
+	const count = 3 * maximumPipelined
 	go func() {
 		for i := range count {
 			_, _ = io.WriteString(caller, getText(fmt.Sprintf("/%d", i)))
@@ -181,7 +181,7 @@
 func TestWhatWaitsForItsTurn(t *testing.T) {
 	is := is.New(t)
 	first := make(chan struct{})
-	s := startAheadServer(t, func(w http.ResponseWriter, r *http.Request) {
+	s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/1" {
 			<-first
 		}
@@ -213,7 +213,7 @@
 	var begun, ended sync.WaitGroup
 	begun.Add(2)
 	ended.Add(2)
-	s := startAheadServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := startPipelineServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		begun.Done()
 		<-r.Context().Done()
 		ended.Done()
@@ -231,13 +231,13 @@
 func TestAnAnswerThatBreaksOff(t *testing.T) {
 	for _, long := range []bool{false, true} {
 		is := is.New(t)
-		s := startAheadServer(t, func(w http.ResponseWriter, r *http.Request) {
+		s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, "half")
 			if r.URL.Path != "/2" {
 				return
 			}
 			if long {
-				_, _ = w.Write(make([]byte, maximumAhead))
+				_, _ = w.Write(make([]byte, maximumBuffered))
 				_, _ = io.WriteString(w, "more") // waits until the rest has been taken
 			}
 			panic(http.ErrAbortHandler)
--- a/kernel/servers.go
+++ b/kernel/servers.go
@@ -56,7 +56,7 @@
 	if !p.Settings.Entry {
 		return callerListener{Listener: listener}
 	}
-	return callerListener{Listener: listener, start: p.startAhead}
+	return callerListener{Listener: listener, start: p.startEarly}
 }
 
 func (s *servers) add(listener net.Listener, handler http.Handler) {
