--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -32,9 +32,6 @@
 	wire.RemoveInternal(response.Header)
 	return &kernel.Answer{
 		Response:  response,
-		Unspent:   report.Unspent,
-		Level:     report.Level,
-		Leaving:   report.Leaving,
 		Replayed:  report.Replayed,
 		Inherited: report.Inherited,
 	}, nil
