--- a/plugin/identity/setup.go
+++ b/plugin/identity/setup.go
@@ -1,4 +1,6 @@
-// Package identity gives each call the key under which it may run at most once.
+// Package identity gives each call the key under which it may run at most once, with the
+// setting claims: true; without claims it does nothing. Plug-in once passes the key on to
+// nodes and claims it there.
 package identity
 
 import (
--- a/plugin/once/setup.go
+++ b/plugin/once/setup.go
@@ -1,6 +1,11 @@
-// Package once makes sure that a request that may not be repeated runs at most
-// once. The rules are those of package claims: before the back end sees the
-// request, a majority of the replicas of its key's group have granted it.
+// Package once makes sure that a request that may not be repeated runs at most once, with
+// the setting claims: true; without claims it does nothing. The rules are those of package
+// claims: before the back end sees the request, a majority of the replicas of its key's
+// group have granted it.
+//
+// It owns this process's replica of the claims, on the control loop, and the table of its
+// own runs. It relies on the store for the Groups document, which plug-in configsync
+// spreads, and on plug-in identity for the keys.
 package once
 
 import (
