--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -52,32 +52,31 @@
 	if err != nil {
 		return nil, err
 	}
+	answers := askMembers[wire.Status](first.Members, wire.PathStatus, timeout)
 	statuses := make([]memberStatus, len(first.Members))
-	var group sync.WaitGroup
 	for i, member := range first.Members {
-		group.Go(func() { statuses[i] = statusOf(member, timeout) })
+		statuses[i] = statusOf(member, answers[i])
 	}
-	group.Wait()
 	return statuses, nil
 }
 
-func statusOf(member membership.Member, timeout time.Duration) memberStatus {
+// statusOf returns what a member answered, nil for no answer, or what the mesh says of it.
+func statusOf(member membership.Member, answer *wire.Status) memberStatus {
 	known := memberStatus{State: member.Status.String()}
 	known.ID, known.Service, known.Zone, known.Region = member.ID, member.Service, member.Zone, member.Region
 	if member.Status == membership.Dead {
 		return known
 	}
-	answered, err := askStatus(member.Control, timeout)
-	if err != nil || answered.ID != member.ID {
+	if answer == nil || answer.ID != member.ID { // another process may have its address
 		known.State += ", no answer"
 		return known
 	}
-	known.Status = answered
+	known.Status = *answer
 	known.Members = nil
 	switch {
-	case answered.Leaving:
+	case answer.Leaving:
 		known.State = "leaving"
-	case !answered.Ready:
+	case !answer.Ready:
 		known.State = "starting"
 	default:
 		known.State = "ready"
@@ -86,15 +85,35 @@
 }
 
 func askStatus(address string, timeout time.Duration) (wire.Status, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	defer cancel()
 	var status wire.Status
-	err := askProcess(ctx, address, wire.PathStatus, &status)
+	err := askProcess(address, wire.PathStatus, timeout, &status)
 	return status, err
 }
 
-// askProcess reads what a process tells at a path of its control address.
-func askProcess(ctx context.Context, address, path string, into any) error {
+// askMembers asks all members that are not dead at a path, at once. The answers are in the
+// order of the members, nil for those that did not answer.
+func askMembers[T any](members []membership.Member, path string, timeout time.Duration) []*T {
+	answers := make([]*T, len(members))
+	var group sync.WaitGroup
+	for i, member := range members {
+		if member.Status == membership.Dead {
+			continue
+		}
+		group.Go(func() {
+			answer := new(T)
+			if askProcess(member.Control, path, timeout, answer) == nil {
+				answers[i] = answer
+			} // the output shows that it did not answer
+		})
+	}
+	group.Wait()
+	return answers
+}
+
+// askProcess reads what a process answers at a path of its control address.
+func askProcess(address, path string, timeout time.Duration, into any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return result.Wrap(result.UsageInvalid, err, "control address %q", address)
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -2,10 +2,8 @@
 
 import (
 	"cmp"
-	"context"
 	"fmt"
 	"slices"
-	"sync"
 	"text/tabwriter"
 	"time"
 
@@ -62,23 +60,7 @@
 	if err != nil {
 		return meshTenants{}, err
 	}
-	answers := make([]*wire.Tenants, len(first.Members))
-	var group sync.WaitGroup
-	for i, member := range first.Members {
-		if member.Status == membership.Dead {
-			continue
-		}
-		group.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), timeout)
-			defer cancel()
-			var answer wire.Tenants
-			if askProcess(ctx, member.Control, wire.PathTenants, &answer) == nil {
-				answers[i] = &answer
-			} // one that does not answer is counted as silent
-		})
-	}
-	group.Wait()
-	return sumOf(first.Members, answers), nil
+	return sumOf(first.Members, askMembers[wire.Tenants](first.Members, wire.PathTenants, timeout)), nil
 }
 
 // sumOf adds up the answers of members, nil for those that did not answer.
