--- a/admission/controller.go
+++ b/admission/controller.go
@@ -29,9 +29,6 @@
 	// takes longer: then that time counts. Longer rides out bursts, shorter
 	// refuses sooner. 0 switches the queue off.
 	QueueTime time.Duration
-
-	// LevelWindow is the time between two adjustments of the level. Default 50ms.
-	LevelWindow time.Duration
 }
 
 func (c *Config) setDefaults() {
@@ -41,9 +38,6 @@
 	if c.MaximumLimit == 0 {
 		c.MaximumLimit = 200
 	}
-	if c.LevelWindow == 0 {
-		c.LevelWindow = 50 * time.Millisecond
-	}
 }
 
 // Request is what a Controller needs to know of a request.
@@ -90,7 +84,7 @@
 	config.setDefaults()
 	return &Controller{
 		limit:    NewLimit(now, config.MinimumLimit, config.MaximumLimit),
-		level:    newLevelControl(now, config.LevelWindow),
+		level:    newLevelControl(now),
 		patience: patience{queueTime: config.QueueTime},
 	}
 }
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -5,25 +5,6 @@
 	"time"
 )
 
-// GateConfig configures a Gate.
-type GateConfig struct {
-	// Window is the time between two adjustments. Longer is steadier, shorter
-	// follows demand sooner. Default 100ms.
-	Window time.Duration
-	// LeastShare is the share that is admitted whatever the pressure, so that
-	// its fall can be seen. Default 0.05.
-	LeastShare float64
-}
-
-func (c *GateConfig) setDefaults() {
-	if c.Window == 0 {
-		c.Window = defaultGateWindow
-	}
-	if c.LeastShare == 0 {
-		c.LeastShare = defaultLeastShare
-	}
-}
-
 // Gate admits a share of the user requests of one kind where they enter, so that
 // what is admitted can be served along its whole call graph. It learns from the
 // pressure that admitted requests met further down: how long they waited for
@@ -40,7 +21,6 @@
 //
 // It is not safe for concurrent use.
 type Gate struct {
-	config       GateConfig
 	share        float64   // that is admitted
 	windowEnd    time.Time // of the window that samples are gathered in
 	sum          float64   // of the pressure of its samples
@@ -48,11 +28,14 @@
 	lastPressure float64 // of the last window with samples
 }
 
-// Constants of the gate. They are steps by windows of defaultGateWindow; estimates, except
+// Constants of the gate. They are steps by windows of gateWindow; estimates, except
 // where a comment gives a figure.
 const (
-	defaultGateWindow = 100 * time.Millisecond
-	defaultLeastShare = 0.05
+	// gateWindow is the time between two adjustments. Longer is steadier, shorter
+	// follows demand sooner.
+	gateWindow = 100 * time.Millisecond
+	// leastShare is admitted whatever the pressure, so that its fall can be seen.
+	leastShare = 0.05
 	// raiseStep is what the share rises by in a window without any pressure.
 	raiseStep = 0.02
 	// quietPressure is the pressure below which nothing waits to speak of, so that the
@@ -77,9 +60,8 @@
 )
 
 // NewGate returns a Gate that admits everything.
-func NewGate(now time.Time, config GateConfig) *Gate {
-	config.setDefaults()
-	return &Gate{config: config, share: 1, windowEnd: now.Add(config.Window)}
+func NewGate(now time.Time) *Gate {
+	return &Gate{share: 1, windowEnd: now.Add(gateWindow)}
 }
 
 // Share returns the share that is admitted, 0 to 1.
@@ -90,7 +72,7 @@
 // least, since nothing changes before.
 func (g *Gate) Reopens() time.Duration {
 	windows := max(math.Ceil((1-g.share)/quietStep), 1)
-	return time.Duration(windows) * g.config.Window
+	return time.Duration(windows) * gateWindow
 }
 
 // Admit reports whether a request of a rank is admitted. Ranks are spread evenly
@@ -113,12 +95,12 @@
 	if now.Before(g.windowEnd) {
 		return
 	}
-	windows := 1 + int(now.Sub(g.windowEnd)/g.config.Window)
+	windows := 1 + int(now.Sub(g.windowEnd)/gateWindow)
 	if g.samples == 0 {
 		g.tryOpening(windows - probeAfterWindows)
 		return
 	}
-	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * g.config.Window)
+	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * gateWindow)
 	pressure := g.sum / float64(g.samples)
 	g.sum, g.samples = 0, 0
 	counted := float64(min(windows, mostWindows))
@@ -140,9 +122,9 @@
 	if windows <= 0 {
 		return
 	}
-	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * g.config.Window)
+	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * gateWindow)
 	g.share += raiseStep * float64(windows)
 	g.bound()
 }
 
-func (g *Gate) bound() { g.share = min(max(g.share, g.config.LeastShare), 1) }
+func (g *Gate) bound() { g.share = min(max(g.share, leastShare), 1) }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -51,7 +51,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			gate := NewGate(epoch, GateConfig{})
+			gate := NewGate(epoch)
 			served, admitted := playGate(gate, 60, c.rate, 100)
 			t.Logf("served %.0f, admitted %.0f, share %.2f", served, admitted, gate.Share())
 			is.True(served >= c.least*60*min(c.rate, 100))
@@ -62,7 +62,7 @@
 
 func TestGateOpensWhenThePressureEnds(t *testing.T) {
 	is := is.New(t)
-	gate := NewGate(epoch, GateConfig{})
+	gate := NewGate(epoch)
 	for i := range 400 {
 		gate.Done(epoch.Add(time.Duration(i)*20*ms), 5)
 	}
@@ -80,7 +80,7 @@
 	for name, every := range map[string]time.Duration{"busy": 10 * ms, "some": 200 * ms, "rare": 900 * ms} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			gate := NewGate(epoch, GateConfig{})
+			gate := NewGate(epoch)
 			now := epoch
 			for now.Sub(epoch) < 10*time.Second {
 				now = now.Add(every)
@@ -100,16 +100,16 @@
 func TestAGateTellsWhenItReopens(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	gate := NewGate(now, GateConfig{})
-	is.Equal(gate.Reopens(), defaultGateWindow) // it is open
+	gate := NewGate(now)
+	is.Equal(gate.Reopens(), gateWindow) // it is open
 	for gate.Share() > 0.4 {
-		now = now.Add(defaultGateWindow)
+		now = now.Add(gateWindow)
 		gate.Done(now, 10)
 	}
 	reopens := gate.Reopens()
 	is.True(reopens > time.Second)
-	for end := now.Add(reopens + 2*defaultGateWindow); now.Before(end); {
-		now = now.Add(defaultGateWindow)
+	for end := now.Add(reopens + 2*gateWindow); now.Before(end); {
+		now = now.Add(gateWindow)
 		gate.Done(now, 0)
 	}
 	is.Equal(gate.Share(), 1.0)
--- a/admission/level.go
+++ b/admission/level.go
@@ -14,7 +14,6 @@
 // process refuses by it only where the policy has no route table (plug-in routing).
 // With one, a Gate decides where requests enter. No setting chooses between the two.
 type levelControl struct {
-	window   time.Duration
 	end      time.Time        // of the window
 	current  int              // the level, a priority
 	arrivals [buckets]float64 // by priority, smoothed over windows
@@ -32,7 +31,8 @@
 // Constants of the level. docs/design/overload.md has the runs in virtual time that they
 // come from; those that it does not name are estimates.
 const (
-	bucketWidth   = 8 // priorities that are counted together
+	levelWindow   = 50 * time.Millisecond // between two adjustments
+	bucketWidth   = 8                     // priorities that are counted together
 	buckets       = (MaximumPriority + 1) / bucketWidth
 	arrivalWeight = 0.4                                // of the last window in the smoothed arrivals
 	windowStarts  = 8                                  // fewer starts make a window with refusals longer
@@ -47,8 +47,8 @@
 	fullRoom      = 0.1                                // less free than this counts as full
 )
 
-func newLevelControl(now time.Time, window time.Duration) *levelControl {
-	return &levelControl{window: window, end: now.Add(window)}
+func newLevelControl(now time.Time) *levelControl {
+	return &levelControl{end: now.Add(levelWindow)}
 }
 
 func (l *levelControl) arrived(priority int) {
@@ -67,11 +67,11 @@
 		return
 	}
 	late := now.Sub(l.end)
-	if l.starts < windowStarts && l.refused > 0 && late < longestWait*l.window {
+	if l.starts < windowStarts && l.refused > 0 && late < longestWait*levelWindow {
 		return // too few to tell
 	}
-	windows := 1 + int(late/l.window)
-	l.end = now.Add(l.window)
+	windows := 1 + int(late/levelWindow)
+	l.end = now.Add(levelWindow)
 	l.learnSlowly()
 	for i := range l.arrivals {
 		l.arrivals[i] += arrivalWeight * (float64(l.recent[i]) - l.arrivals[i])
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -24,18 +24,18 @@
 	latency := max(b.believedLatency(now, s), minimumLatency)
 	switch {
 	case s.target.Region != b.config.Region:
-		latency += b.config.RegionCost.Seconds()
+		latency += regionCost.Seconds()
 	case s.target.Zone != b.config.Zone:
-		latency += b.config.ZoneCost.Seconds()
+		latency += zoneCost.Seconds()
 	}
 	cost := latency * float64(s.inFlight+1)
 	if !b.inOwnZone(s.target) {
 		cost *= awayFactor
 	}
-	if age := now.Sub(s.target.Since); age < b.config.WarmUp {
-		cost /= max(age.Seconds()/b.config.WarmUp.Seconds(), leastWarm)
+	if age := now.Sub(s.target.Since); age < warmUp {
+		cost /= max(age.Seconds()/warmUp.Seconds(), leastWarm)
 	}
-	served := 1 - s.refusals.At(now, b.config.RefusalHalfLife)
+	served := 1 - s.refusals.At(now, refusalHalfLife)
 	sound := 1 - b.faultsOf(now, s)
 	return cost / max(served*math.Pow(sound, faultWeight), leastYield)
 }
@@ -47,7 +47,7 @@
 	if s.latency == 0 {
 		return unknownShare * b.fastLatency(now)
 	}
-	return s.latency * decay(now.Sub(s.learnedAt), b.config.LatencyHalfLife)
+	return s.latency * decay(now.Sub(s.learnedAt), latencyHalfLife)
 }
 
 const (
--- a/balance/faults.go
+++ b/balance/faults.go
@@ -16,7 +16,7 @@
 // faultsOf returns the share of a node's calls that fail, by what was seen here and
 // what the node reported, whichever is higher.
 func (b *Balancer) faultsOf(now time.Time, s *state) float64 {
-	return max(s.faults.At(now, b.config.FaultHalfLife), s.reported.At(now, b.config.FaultHalfLife))
+	return max(s.faults.At(now, FaultHalfLife), s.reported.At(now, FaultHalfLife))
 }
 
 const (
@@ -51,5 +51,5 @@
 }
 
 func (b *Balancer) hasRoom(now time.Time, s *state) bool {
-	return s.load.at(now, b.config.LoadHalfLife) < reliableLoad
+	return s.load.at(now, loadHalfLife) < reliableLoad
 }
--- a/balance/level.go
+++ b/balance/level.go
@@ -31,10 +31,10 @@
 		return 0
 	}
 	age := now.Sub(shown.at)
-	if age <= b.config.LevelHalfLife {
+	if age <= levelHalfLife {
 		return shown.level
 	}
-	return shown.level >> min(int(age/b.config.LevelHalfLife), levelBits)
+	return shown.level >> min(int(age/levelHalfLife), levelBits)
 }
 
 // Level returns the mean admission level for a call path of the nodes that take
--- a/balance/load.go
+++ b/balance/load.go
@@ -16,7 +16,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if s, exists := b.states[id]; exists {
-		s.load.learn(now, b.config.LoadHalfLife, min(load, mostLoad))
+		s.load.learn(now, loadHalfLife, min(load, mostLoad))
 	}
 }
 
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -27,11 +27,11 @@
 	}
 	s.inFlight = max(s.inFlight-1, 0)
 	s.onTrial = false
-	s.refusals.Learn(now, b.config.RefusalHalfLife, outcome == Refused)
+	s.refusals.Learn(now, refusalHalfLife, outcome == Refused)
 	switch outcome {
 	case Answered, Faulty:
 		b.learnLatency(now, s, latency)
-		s.faults.Learn(now, b.config.FaultHalfLife, outcome == Faulty)
+		s.faults.Learn(now, FaultHalfLife, outcome == Faulty)
 		b.responded(s)
 	case Refused:
 		b.responded(s)
@@ -39,9 +39,9 @@
 		b.learnLeastLatency(now, s, latency)
 	case Failed:
 		b.learnLeastLatency(now, s, latency)
-		s.faults.Learn(now, b.config.FaultHalfLife, true)
+		s.faults.Learn(now, FaultHalfLife, true)
 		s.failures++
-		if s.failures >= b.config.EjectAfter || s.ejections > 0 {
+		if s.failures >= ejectAfter || s.ejections > 0 {
 			b.eject(now, s)
 		}
 	}
@@ -60,7 +60,7 @@
 // known is, so that a node that was slow is not taken for slow after it has answered
 // fast.
 func (b *Balancer) learnLatency(now time.Time, s *state, latency time.Duration) {
-	weight := 1 - (1-smoothing)*decay(now.Sub(s.learnedAt), b.config.LatencyHalfLife)
+	weight := 1 - (1-smoothing)*decay(now.Sub(s.learnedAt), latencyHalfLife)
 	s.learnedAt = now
 	if s.latency == 0 {
 		weight = 1
@@ -87,7 +87,7 @@
 
 // eject takes a node out for a while, longer each time in a row.
 func (b *Balancer) eject(now time.Time, s *state) {
-	wait := min(b.config.EjectTime<<min(s.ejections, mostDoublings), b.config.MaximumEjectTime)
+	wait := min(ejectTime<<min(s.ejections, mostDoublings), maximumEjectTime)
 	s.ejectedUntil = now.Add(wait)
 	s.ejections++
 	s.failures = 0
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -52,7 +52,7 @@
 	}
 	sum := 0.0
 	for _, candidate := range own {
-		sum += candidate.load.at(now, b.config.LoadHalfLife)
+		sum += candidate.load.at(now, loadHalfLife)
 	}
 	share := localShare(sum / float64(len(own)))
 	if share == 0 || b.config.Random(randomParts) >= int(share*randomParts) {
@@ -79,7 +79,7 @@
 func (b *Balancer) keepsCalls(now time.Time, s *state, fast float64) bool {
 	return s.load.known &&
 		b.faultsOf(now, s) < mostFaults &&
-		s.refusals.At(now, b.config.RefusalHalfLife) < mostRefusals &&
+		s.refusals.At(now, refusalHalfLife) < mostRefusals &&
 		s.latency <= mostSlower*max(fast, minimumLatency)
 }
 
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -101,12 +101,6 @@
 // Answer is the answer to a call.
 type Answer struct {
 	*http.Response
-	// Unspent is the number of retries that the callee did not use.
-	Unspent int
-	// Level is the lowest priority that the callee's subtree admits now.
-	Level int
-	// Leaving is true when the answering process is stopping.
-	Leaving bool
 	// Replayed is true when this is the stored answer of an earlier run.
 	Replayed bool
 	// Inherited is true when the answer is a failure that follows from a failed call
--- a/plugin/admission/faults.go
+++ b/plugin/admission/faults.go
@@ -18,13 +18,13 @@
 func (f *faults) learn(now time.Time, failed bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.share.Learn(now, balance.DefaultFaultHalfLife, failed)
+	f.share.Learn(now, balance.FaultHalfLife, failed)
 }
 
 func (f *faults) at(now time.Time) float64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.share.At(now, balance.DefaultFaultHalfLife)
+	return f.share.At(now, balance.FaultHalfLife)
 }
 
 // isFault reports whether an error of a request that was handed to the back end is the
--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -30,14 +30,7 @@
 		return nil, refusalOf(response)
 	}
 	wire.RemoveInternal(response.Header)
-	return &kernel.Answer{
-		Response:  response,
-		Unspent:   report.Unspent,
-		Level:     report.Level,
-		Leaving:   report.Leaving,
-		Replayed:  report.Replayed,
-		Inherited: report.Inherited,
-	}, nil
+	return &kernel.Answer{Response: response, Inherited: report.Inherited}, nil
 }
 
 // learn takes what a node reports of itself and of the services that it called.
--- a/plugin/shed/gates.go
+++ b/plugin/shed/gates.go
@@ -102,7 +102,7 @@
 func (g *gates) route(call *kernel.Call, now time.Time) *routeGate {
 	found, exists := g.byPath[call.Policy.Path]
 	if !exists {
-		found = &routeGate{gate: admission.NewGate(now, admission.GateConfig{})}
+		found = &routeGate{gate: admission.NewGate(now)}
 		g.byPath[call.Policy.Path] = found
 	}
 	return found
