--- a/admission/limit.go
+++ b/admission/limit.go
@@ -197,3 +197,14 @@
 	}
 	l.baseline = min(l.baseline, mean) // the limit stays where the probe put it
 }
+
+// usableShare is the share of a back end's slots that are used. Some back ends become
+// slower when the last ones are taken, and a request that was given up may hold one for
+// a while. Estimate.
+const usableShare = 0.94
+
+// UsableSlots returns the limit for a back end that tells how many slots it has, which
+// needs no search: most of them, at least one, 0 for none.
+func UsableSlots(slots int) int {
+	return min(slots, int(math.Ceil(float64(slots)*usableShare)))
+}
--- a/admission/patience.go
+++ b/admission/patience.go
@@ -3,6 +3,9 @@
 import "time"
 
 const (
+	// patienceDivisor makes a target latency the time that a request may wait for a slot:
+	// one part in so many. A refusal that comes sooner leaves time to come again. Estimate.
+	patienceDivisor = 5
 	// ownSmoothing is the weight of one request in the smoothed own time.
 	ownSmoothing = 0.05
 	// leastTimeLeft is the share of the usual own time that must be left until the
@@ -15,6 +18,10 @@
 	criticalPatience = 4
 )
 
+// PatienceOf returns how long a request with a target latency may wait for a slot, 0 when
+// there is none (Request.Patience).
+func PatienceOf(target time.Duration) time.Duration { return target / patienceDivisor }
+
 // patience decides how long requests may wait for a slot, by the time that the back end
 // usually takes: slots become free at that pace.
 type patience struct {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -50,18 +50,7 @@
 	return ticket
 }
 
-// worst returns the request that would be served last.
-func (q *ticketQueue) worst() *Ticket {
-	return q.last(func(*Ticket) bool { return true })
-}
-
-// worstCommitted returns the last of those that are committed, nil when there is
-// none.
-func (q *ticketQueue) worstCommitted() *Ticket {
-	return q.last(func(ticket *Ticket) bool { return ticket.Committed })
-}
-
-// last returns the last of the requests that fit.
+// last returns the last of the requests that fit, nil when there is none.
 func (q *ticketQueue) last(fits func(*Ticket) bool) *Ticket {
 	var worst *Ticket
 	for _, ticket := range q.tickets {
--- a/admission/uncommitted.go
+++ b/admission/uncommitted.go
@@ -51,9 +51,9 @@
 // unless those that are not committed are few already.
 func (q *ticketQueue) victim(limit int) *Ticket {
 	if float64(q.uncommitted()) <= uncommittedShare*float64(limit) {
-		if worst := q.worstCommitted(); worst != nil {
-			return worst
+		if committed := q.last(func(ticket *Ticket) bool { return ticket.Committed }); committed != nil {
+			return committed
 		}
 	}
-	return q.worst()
+	return q.last(func(*Ticket) bool { return true })
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -50,7 +50,8 @@
 	ejections    int           // in a row
 	ejectedUntil time.Time
 	onTrial      bool
-	load         nodeLoad
+	load         DecayingShare // of its slots that are taken, above 1 with those that wait
+	loadKnown    bool
 	levels       map[string]shownLevel // by call path
 }
 
@@ -163,7 +164,12 @@
 
 // anyOfOwnZone returns a random candidate of the own zone, nil when there is none.
 func (b *Balancer) anyOfOwnZone(candidates []*state) *state {
-	own := b.ownZone(candidates)
+	own := make([]*state, 0, len(candidates))
+	for _, candidate := range candidates {
+		if b.inOwnZone(candidate.target) {
+			own = append(own, candidate)
+		}
+	}
 	if len(own) == 0 {
 		return nil
 	}
--- a/balance/decaying.go
+++ b/balance/decaying.go
@@ -28,11 +28,16 @@
 
 // Learn takes the end of one call; counts says whether it ended that way.
 func (s *DecayingShare) Learn(now time.Time, halfLife time.Duration, counts bool) {
-	value := s.At(now, halfLife)
-	target := 0.0
+	observed := 0.0
 	if counts {
-		target = 1
+		observed = 1
 	}
-	s.value = value + smoothing*(target-value)
+	s.learn(now, halfLife, smoothing, observed)
+}
+
+// learn moves the share towards what was observed, by a weight of 0 to 1.
+func (s *DecayingShare) learn(now time.Time, halfLife time.Duration, weight, observed float64) {
+	value := s.At(now, halfLife)
+	s.value = value + weight*(observed-value)
 	s.since = now
 }
--- a/balance/faults.go
+++ b/balance/faults.go
@@ -51,5 +51,5 @@
 }
 
 func (b *Balancer) hasRoom(now time.Time, s *state) bool {
-	return s.load.at(now, loadHalfLife) < reliableLoad
+	return s.load.At(now, loadHalfLife) < reliableLoad
 }
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -52,7 +52,7 @@
 	}
 	sum := 0.0
 	for _, candidate := range own {
-		sum += candidate.load.at(now, loadHalfLife)
+		sum += candidate.load.At(now, loadHalfLife)
 	}
 	share := localShare(sum / float64(len(own)))
 	if share == 0 || b.config.Random(randomParts) >= int(share*randomParts) {
@@ -77,7 +77,7 @@
 // load, neither fails nor refuses, and is not far slower than a fast one. One that takes
 // calls for the first time shares them with all.
 func (b *Balancer) keepsCalls(now time.Time, s *state, fast float64) bool {
-	return s.load.known &&
+	return s.loadKnown &&
 		b.faultsOf(now, s) < mostFaults &&
 		s.refusals.At(now, refusalHalfLife) < mostRefusals &&
 		s.latency <= mostSlower*max(fast, minimumLatency)
@@ -102,14 +102,3 @@
 	}
 	return b.fast
 }
-
-// ownZone returns the candidates of the own zone.
-func (b *Balancer) ownZone(candidates []*state) []*state {
-	own := make([]*state, 0, len(candidates))
-	for _, candidate := range candidates {
-		if b.inOwnZone(candidate.target) {
-			own = append(own, candidate)
-		}
-	}
-	return own
-}
--- a/plugin/admission/wait.go
+++ b/plugin/admission/wait.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -15,18 +14,10 @@
 type admitter struct {
 	process    *kernel.Process
 	controller *admission.Controller
-	bounds     bounds
 	faults     faults
-	mutex      sync.Mutex
 	overloaded atomic.Bool
 }
 
-// bounds are the settings that the controller was last given.
-type bounds struct {
-	minimum, maximum int
-	queueTime        time.Duration
-}
-
 func (a *admitter) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		a.setBounds(call)
@@ -40,23 +31,18 @@
 	})
 }
 
-// setBounds passes changed settings of the service to the controller.
+// setBounds passes the settings of the service to the controller. A back end that tells
+// its slots needs no search for the limit.
 func (a *admitter) setBounds(call *kernel.Call) {
-	wanted := bounds{call.Policy.ConcurrencyMin, call.Policy.ConcurrencyMax, call.Policy.QueueTime}
+	minimum, maximum := call.Policy.ConcurrencyMin, call.Policy.ConcurrencyMax
 	if slots := a.slots(); slots > 0 {
-		wanted.minimum, wanted.maximum = slots, slots
-	}
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if wanted == a.bounds {
-		return
+		minimum, maximum = slots, slots
 	}
-	a.bounds = wanted
-	a.controller.SetBounds(wanted.minimum, wanted.maximum, wanted.queueTime)
+	a.controller.SetBounds(minimum, maximum, call.Policy.QueueTime)
 }
 
 // slots is the number of the back end's slots that are used, 0 when it does not tell its
-// slots. It needs no search for the limit then.
+// slots.
 func (a *admitter) slots() int {
 	if a.process.BackEnd == nil {
 		return 0
--- a/plugin/retry/retrier.go
+++ b/plugin/retry/retrier.go
@@ -22,33 +22,33 @@
 	})
 }
 
-// progress is what the attempts of a call have come to.
-type progress struct {
-	offers   int  // attempts of this round
-	absent   bool // a node of this round was absent
-	arrivals int  // attempts that may have arrived at a back end
-	ran      bool // an attempt may have run
-}
-
 // handle makes attempts until one is final. Attempts that nodes refuse come in rounds of
 // offers, with a pause between two of them.
 func (r *retrier) handle(next kernel.Handler, call *kernel.Call) (*kernel.Answer, error) {
-	made := progress{}
+	situation := retry.Situation{
+		Repeatable:      call.Policy.Repeatable,
+		Claims:          r.process.Settings.Claims,
+		Committed:       call.Committed(),
+		SharedBudget:    r.limiter.shared(),
+		MaximumArrivals: call.Policy.MaximumAttempts,
+	}
+	ran := false // an attempt may have run
 	for {
 		answer, err := next.Handle(call)
-		made.note(err)
-		decision := retry.Decide(r.situation(call, &made, answer, err))
+		note(&situation, call, answer, err)
+		ran = ran || err == nil || !situation.Err.NotRun()
+		decision := retry.Decide(situation)
 		if decision.Arrived {
-			made.arrivals++
+			situation.Arrivals++
 		}
 		switch {
 		case decision.Send && (!decision.Paid || r.limiter.pay(call)):
 		case decision.Pause:
 			kernel.Pause(call.Context, retry.AbsencePause)
-			made.offers, made.absent, call.Tried = 0, false, nil
+			situation.Offers, situation.Absent, call.Tried = 0, false, nil
 		default:
 			notePressure(call, err)
-			return answer, withRan(err, made.ran)
+			return answer, withRan(err, ran)
 		}
 		if answer != nil {
 			discard(answer)
@@ -59,37 +59,17 @@
 }
 
 // note takes the end of an attempt.
-func (p *progress) note(err error) {
-	p.offers++
+func note(s *retry.Situation, call *kernel.Call, answer *kernel.Answer, err error) {
+	s.Offers++
+	s.Sendable = call.Body.Replayable() && call.Context.Err() == nil
+	s.Left = call.Deadline.Left()
+	s.Err, s.Status = nil, 0
 	if err == nil {
-		p.ran = true
-		return
-	}
-	typed := result.From(err)
-	p.ran = p.ran || !typed.NotRun()
-	p.absent = p.absent || typed.Code.Conclusion().Absent
-}
-
-// situation gathers what the decision depends on.
-func (r *retrier) situation(call *kernel.Call, made *progress, answer *kernel.Answer, err error) retry.Situation {
-	s := retry.Situation{
-		Repeatable:      call.Policy.Repeatable,
-		Claims:          r.process.Settings.Claims,
-		Committed:       call.Committed(),
-		Sendable:        call.Body.Replayable() && call.Context.Err() == nil,
-		Left:            call.Deadline.Left(),
-		SharedBudget:    r.limiter.shared(),
-		Offers:          made.offers,
-		Absent:          made.absent,
-		Arrivals:        made.arrivals,
-		MaximumArrivals: call.Policy.MaximumAttempts,
-	}
-	if err != nil {
-		s.Err = result.From(err)
-	} else {
 		s.Status = answer.StatusCode
+		return
 	}
-	return s
+	s.Err = result.From(err)
+	s.Absent = s.Absent || s.Err.Code.Conclusion().Absent
 }
 
 // notePressure records that the back end turned the call away, with no attempt left.
