--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -31,6 +32,7 @@
 	instance                                 atomic.Pointer[string] // the incarnation of the back end
 	sequence                                 atomic.Int64
 	runs                                     atomic.Int64
+	runsWithRow                              atomic.Int64 // once all requests of the row have begun
 }
 
 // seal is what the stand-in of a back end signs its answers with.
@@ -52,6 +54,7 @@
 		time.Sleep(wait)
 	}
 	if r.Header.Get("Break") != "" {
+		n.awaitRow(r.Context())
 		w.Header().Set("Content-Length", "64000")
 		_, _ = w.Write(make([]byte, 32000))
 		panic(http.ErrAbortHandler)
@@ -75,6 +78,14 @@
 	fmt.Fprintf(w, "%s for %s %s%s", n.service, r.Header.Get("X-Caller-Service"), r.URL.Path, inner)
 }
 
+// awaitRow waits until all requests of the row have begun. An answer that broke off before
+// the node had read those behind it would take the connection away from them.
+func (n *platformNode) awaitRow(ctx context.Context) {
+	for n.runs.Load() < n.runsWithRow.Load() && ctx.Err() == nil {
+		time.Sleep(time.Millisecond)
+	}
+}
+
 // startPlatformNode starts a back end and its node. more are lines of its settings.
 func startPlatformNode(t *testing.T, store, service string, more ...string) *platformNode {
 	t.Helper()
@@ -200,7 +211,8 @@
 	t.Helper()
 	is := is.New(t)
 	conn := n.dial(t)
-	before := runsAt.runs.Load()
+	whole := runsAt.runs.Load() + int64(len(headers))
+	runsAt.runsWithRow.Store(whole)
 	for _, header := range headers {
 		if header == "" {
 			header = "None: 1"
@@ -209,7 +221,7 @@
 			platformRequests.Add(1), header)
 		is.NoErr(err)
 	}
-	until(t, "the row to begin", func() bool { return runsAt.runs.Load() >= before+int64(len(headers)) })
+	until(t, "the row to begin", func() bool { return runsAt.runs.Load() >= whole })
 	meanwhile()
 	statuses := []int{}
 	for _, answer := range readAnswers(t, conn, len(headers)) {
