--- a/clock/clock.go
+++ b/clock/clock.go
@@ -29,9 +29,6 @@
 	return Instant(bootNanoseconds())
 }
 
-// Check returns a result.SettingsInvalid error on a machine without such a clock.
-func Check() error { return checkBootClock() }
-
 // Add returns the instant a duration later.
 func (i Instant) Add(duration time.Duration) Instant { return i + Instant(duration) }
 
--- a/plugin/membership/machines.go
+++ b/plugin/membership/machines.go
@@ -31,7 +31,7 @@
 // try and tells machines that they are leaving. It never removes a member.
 func (m *mesh) pollMachines(ctx context.Context) {
 	reachable, polls := true, 0
-	for {
+	for ctx.Err() == nil {
 		if m.watches() {
 			machines, err := m.process.Machines.List(ctx)
 			if (err == nil) != reachable && ctx.Err() == nil {
@@ -46,11 +46,7 @@
 		if polls++; polls <= earlyPolls {
 			wait = earlyInterval
 		}
-		select {
-		case <-time.After(wait/2 + rand.N(wait)):
-		case <-ctx.Done():
-			return
-		}
+		kernel.Pause(ctx, wait/2+rand.N(wait))
 	}
 }
 
--- a/plugin/membership/registry.go
+++ b/plugin/membership/registry.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/loomcleat/loomcleat/event"
+	"github.com/loomcleat/loomcleat/kernel"
 	"github.com/loomcleat/loomcleat/store"
 )
 
@@ -25,7 +26,7 @@
 		Zone:    m.process.Settings.Zone,
 		State:   store.MachineLive,
 	}
-	for wait := firstRegisterWait; ; wait = min(2*wait, maximumRegisterWait) {
+	for wait := firstRegisterWait; ctx.Err() == nil; wait = min(2*wait, maximumRegisterWait) {
 		err := m.process.Registry.Register(ctx, machine)
 		if err == nil {
 			m.process.Log.Emit(event.Registered, "id", machine.ID, "control", machine.Control)
@@ -35,11 +36,7 @@
 			return
 		}
 		m.process.Log.Emit(event.RegistryUnreachable, "error", err, "again_in", wait.String())
-		select {
-		case <-time.After(wait/2 + rand.N(wait)):
-		case <-ctx.Done():
-			return
-		}
+		kernel.Pause(ctx, wait/2+rand.N(wait))
 	}
 }
 
--- a/plugin/quarantine/crashes.go
+++ b/plugin/quarantine/crashes.go
@@ -77,5 +77,4 @@
 // looked at. The mutex is held.
 func (p *plugin) publish() {
 	p.hasSuspects.Store(p.ledger.HasSuspects())
-	p.empty.Store(p.ledger.Empty())
 }
--- a/plugin/quarantine/peers.go
+++ b/plugin/quarantine/peers.go
@@ -84,9 +84,6 @@
 
 // Digest implements kernel.Quarantine.
 func (p *plugin) Digest() uint64 {
-	if p.empty.Load() {
-		return 0 // nearly always
-	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.ledger.Digest(clock.Now().Time())
--- a/plugin/quarantine/setup.go
+++ b/plugin/quarantine/setup.go
@@ -31,7 +31,6 @@
 		checkDue: make(chan struct{}, 1),
 		saveDue:  make(chan struct{}, 1),
 	}
-	p.empty.Store(true)
 	process.Quarantine = p
 	process.HandleControl("GET "+wire.PathQuarantine, p.serveCrashes)
 	process.HandleControl("POST "+wire.PathQuarantine, p.receiveCrashes)
@@ -55,7 +54,6 @@
 	checkDue    chan struct{} // wakes detectCrashes
 	saveDue     chan struct{} // wakes keepStored
 	hasSuspects atomic.Bool   // of the ledger
-	empty       atomic.Bool   // of the ledger
 	pulling     atomic.Bool   // a peer is asked for what it knows
 	crashCount  atomic.Int64  // crashes of the back end beside this node
 
--- a/quarantine/decision.go
+++ b/quarantine/decision.go
@@ -28,8 +28,8 @@
 // whether this process is the one that runs trials of the request, so that a request which
 // still crashes back ends takes down one at a time.
 func (l *Ledger) Decide(now time.Time, signature Signature, runsTrials func() bool) (Verdict, time.Duration) {
-	known, exists := l.suspects[signature]
-	if !exists || !l.isQuarantined(known) {
+	known := l.suspects[signature]
+	if !l.isQuarantined(known) {
 		return Admit, 0
 	}
 	left := l.quarantineTime(len(known.crashes)) - now.Sub(known.last)
@@ -47,20 +47,16 @@
 // trials are made elsewhere.
 const trialPause = time.Second
 
-// isQuarantined reports whether a request is suspected of enough crashes.
+// isQuarantined reports whether a request, nil for one that is no suspect, is suspected of
+// enough crashes.
 func (l *Ledger) isQuarantined(known *suspect) bool {
-	return len(known.crashes) >= l.config.Threshold
+	return known != nil && len(known.crashes) >= l.config.Threshold
 }
 
 // QuarantinedByNextCrash reports whether a request is in quarantine, or will be by one more
 // crash.
 func (l *Ledger) QuarantinedByNextCrash(signature Signature) bool {
-	known, exists := l.suspects[signature]
-	crashes := 0
-	if exists {
-		crashes = len(known.crashes)
-	}
-	return crashes >= l.config.Threshold-1
+	return len(l.SuspectedOf(signature)) >= l.config.Threshold-1
 }
 
 // quarantineTime is how long a request is refused after a number of crashes.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -36,9 +36,6 @@
 	return &Ledger{config: config, crashes: map[string]*crash{}, suspects: map[Signature]*suspect{}}
 }
 
-// Empty reports whether no crash is known, not even one of which all requests are cleared.
-func (l *Ledger) Empty() bool { return len(l.crashes) == 0 }
-
 // HasSuspects reports whether any request is suspected of a crash. While none is, attempts
 // need no decision and answers clear nothing.
 func (l *Ledger) HasSuspects() bool { return len(l.suspects) > 0 }
@@ -158,12 +155,8 @@
 // Answered clears a request that a back end has answered of all crashes that are known. It
 // returns those that it was suspected of, for other processes to be told.
 func (l *Ledger) Answered(now time.Time, signature Signature) []Crash {
-	known, exists := l.suspects[signature]
-	if !exists {
-		return nil
-	}
 	cleared := []Crash{}
-	for _, id := range slices.Clone(known.crashes) {
+	for _, id := range l.SuspectedOf(signature) {
 		of := l.crashes[id]
 		l.clear(of, signature)
 		cleared = append(cleared, Crash{
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -48,22 +48,18 @@
 // with those requests alone. Their order depends on nothing but what they hold, so that
 // processes that know the same write the same bytes to the store.
 func (l *Ledger) CrashesOfQuarantined(now time.Time) []Crash {
-	byID := map[string]*Crash{}
-	for signature, known := range l.suspects {
-		if !l.isQuarantined(known) {
-			continue
-		}
-		for _, id := range known.crashes {
-			if byID[id] == nil {
-				byID[id] = &Crash{ID: id, Age: l.crashes[id].age(now)}
+	reports := []Crash{}
+	for id, known := range l.crashes {
+		report := Crash{ID: id, Age: known.age(now)}
+		for signature, cleared := range known.lost {
+			if !cleared && l.isQuarantined(l.suspects[signature]) {
+				report.Suspects = append(report.Suspects, signature)
 			}
-			byID[id].Suspects = append(byID[id].Suspects, signature)
 		}
-	}
-	reports := make([]Crash, 0, len(byID))
-	for _, report := range byID {
-		slices.SortFunc(report.Suspects, func(a, b Signature) int { return bytes.Compare(a[:], b[:]) })
-		reports = append(reports, *report)
+		if len(report.Suspects) > 0 {
+			slices.SortFunc(report.Suspects, func(a, b Signature) int { return bytes.Compare(a[:], b[:]) })
+			reports = append(reports, report)
+		}
 	}
 	slices.SortFunc(reports, func(a, b Crash) int { return cmp.Compare(a.ID, b.ID) })
 	return reports
--- a/quota/decision.go
+++ b/quota/decision.go
@@ -14,28 +14,17 @@
 	Basis Basis
 }
 
-// Basis is what a Decision rests on.
-type Basis int
+// Basis is what a Decision rests on. Refused callers are told it.
+type Basis string
 
 // Bases of decisions.
 const (
-	Unbounded   Basis = iota // the tenant has no quota
-	WithinQuota              // the coordinator says that there is room
-	ShareOfAll               // a share of all requests, as the coordinator says
-	OwnShare                 // the equal share of this process: nobody answers, or much is unreported
+	Unbounded   Basis = "unbounded"    // the tenant has no quota
+	WithinQuota Basis = "within-pool"  // the coordinator says that there is room
+	ShareOfAll  Basis = "share-of-all" // a share of all requests, as the coordinator says
+	OwnShare    Basis = "own-share"    // the equal share of this process: nobody answers, or much is unreported
 )
 
-// basisNames are part of what refused callers are told.
-var basisNames = []string{"unbounded", "within-pool", "share-of-all", "own-share"}
-
-// String returns the name of the basis.
-func (b Basis) String() string {
-	if b < Unbounded || b > OwnShare {
-		return "unknown"
-	}
-	return basisNames[b]
-}
-
 // Admit decides on a request of a tenant and counts it.
 func (l *Ledger) Admit(now time.Time, tenant string) Decision {
 	a, bounded := l.accounts[tenant]
@@ -63,7 +52,8 @@
 func (l *Ledger) decide(now time.Time, a *account) Decision {
 	a.ownShare.fill(now, l.ownRate(a), l.ownCapacity(a)) // also while it does not decide
 	if l.mustUseOwnShare(now, a) {
-		return l.decideByOwnShare(a)
+		l.beginOwnShare(a)
+		return Decision{Admitted: a.ownShare.take(), Basis: OwnShare, RetryAfter: a.ownShare.wait(l.ownRate(a))}
 	}
 	a.onOwnShare = false
 	if a.admit >= 1 {
@@ -98,11 +88,6 @@
 	return l.failed || l.CutOff(now) || unanswered
 }
 
-func (l *Ledger) decideByOwnShare(a *account) Decision {
-	l.beginOwnShare(a)
-	return Decision{Admitted: a.ownShare.take(), Basis: OwnShare, RetryAfter: a.ownShare.wait(l.ownRate(a))}
-}
-
 // beginOwnShare bounds what a process admits at once when it falls back to its equal share:
 // its part of the burst, and of fallbackTolerance. Of a small tenant that is less than one
 // request, which some processes admit by chance.
