--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -2,10 +2,8 @@
 
 import (
 	"cmp"
-	"context"
 	"fmt"
 	"slices"
-	"sync"
 	"text/tabwriter"
 	"time"
 
@@ -23,8 +21,8 @@
 // tenantUse is what all processes that answered know of one tenant.
 type tenantUse struct {
 	quota.State
-	// Narrowed is the number of processes that admit only a share of its requests.
-	Narrowed int `json:"narrowed"`
+	// Throttled is the number of processes that admit only a share of its requests.
+	Throttled int `json:"narrowed"`
 }
 
 // meshTenants is the use of all quotas.
@@ -47,7 +45,7 @@
 	table := tabwriter.NewWriter(output.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "TENANT\tRATE/S\tBURST\tADMITTED\tREFUSED\tNARROWED AT\tADMIT")
 	for _, t := range found.Tenants {
-		fmt.Fprintf(table, "%s\t%g\t%g\t%d\t%d\t%d\t%.2f\n", t.Tenant, t.Rate, t.Burst, t.Admitted, t.Refused, t.Narrowed, t.Admit)
+		fmt.Fprintf(table, "%s\t%g\t%g\t%d\t%d\t%d\t%.2f\n", t.Tenant, t.Rate, t.Burst, t.Admitted, t.Refused, t.Throttled, t.Admit)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -62,23 +60,7 @@
 	if err != nil {
 		return meshTenants{}, err
 	}
-	answers := make([]*wire.Tenants, len(first.Members))
-	var group sync.WaitGroup
-	for i, member := range first.Members {
-		if member.Status == membership.Dead {
-			continue
-		}
-		group.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), timeout)
-			defer cancel()
-			var answer wire.Tenants
-			if askProcess(ctx, member.Control, wire.PathTenants, &answer) == nil {
-				answers[i] = &answer
-			} // one that does not answer is counted as silent
-		})
-	}
-	group.Wait()
-	return sumOf(first.Members, answers), nil
+	return sumOf(first.Members, askMembers[wire.Tenants](first.Members, wire.PathTenants, timeout)), nil
 }
 
 // sumOf adds up the answers of members, nil for those that did not answer.
@@ -122,6 +104,6 @@
 	use.Refused += state.Refused
 	use.Admit = min(use.Admit, state.Admit)
 	if state.Admit < 1 {
-		use.Narrowed++
+		use.Throttled++
 	}
 }
