--- a/instance/instance.go
+++ b/instance/instance.go
@@ -2,9 +2,10 @@
 // incarnation is running, how many requests it works on at a time, and whether
 // it is leaving. It decides whether the node may hand requests to the back end.
 //
-// The package does no I/O and has no clock. The back end reports by heartbeats,
-// which may come late and out of order; each start of a back end is a new
-// incarnation with a new id.
+// The package owns that state in memory; it does no I/O and has no clock. The back end
+// reports by heartbeats, which may come late and out of order; each start of a back end is a
+// new incarnation with a new id. Package platform decodes the heartbeats, plugin/instance
+// passes them on.
 package instance
 
 import (
@@ -28,8 +29,6 @@
 	Draining bool
 	// Sequence rises with each heartbeat of an incarnation.
 	Sequence uint64
-	// Cold is how much longer it is slow from its start.
-	Cold time.Duration
 }
 
 // State is what is known of the back end. It does not change once returned.
@@ -43,10 +42,6 @@
 	// ClosesAt is when no more requests may be handed to it, zero while it is
 	// not leaving.
 	ClosesAt time.Time
-	// ColdUntil is until when it is slow from its start.
-	ColdUntil time.Time
-	// HeardAt is when it was last heard of.
-	HeardAt time.Time
 }
 
 // Open reports whether requests may be handed to the back end.
@@ -114,8 +109,6 @@
 	}
 	t.sequence = report.Sequence
 	t.state.Slots = report.Slots
-	t.state.HeardAt = now
-	t.state.ColdUntil = now.Add(report.Cold)
 	if report.Draining {
 		t.leave(now)
 	}
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,12 +7,12 @@
 	target  string
 	pending int  // indirect answers still missing
 	done    bool // answered, or given up
-	direct  bool // the direct probe has failed
+	failed  bool // the direct probe has
 }
 
 // startProbe probes the next member, and sometimes an address where part of
 // the mesh may be that this process does not know.
-func (m *Machine) startProbe(now time.Time, sends []Send) []Send {
+func (m *Machine) startProbe(sends []Send) []Send {
 	if target := m.nextTarget(); target != nil {
 		started := &probe{target: target.ID}
 		sends = append(sends, m.send(target.Control, Ping, started))
@@ -51,6 +51,8 @@
 	return ids
 }
 
+// probeAnswered takes the answer to a direct probe, or to an indirect one, which may say that
+// the target did not answer either.
 func (m *Machine) probeAnswered(now time.Time, sent Send, reply Message) {
 	if sent.Message.Kind == Ping || reply.OK {
 		sent.probe.done = true
@@ -62,7 +64,7 @@
 
 // probeThroughOthers asks other members to repeat a failed probe.
 func (m *Machine) probeThroughOthers(now time.Time, current *probe) []Send {
-	current.direct = true
+	current.failed = true
 	target, exists := m.members[current.target]
 	if !exists || target.Status == Dead {
 		return nil
@@ -89,7 +91,7 @@
 // giveUp suspects the target once the direct probe and all indirect ones have
 // failed.
 func (m *Machine) giveUp(now time.Time, current *probe) {
-	if current.done || !current.direct || current.pending > 0 {
+	if current.done || !current.failed || current.pending > 0 {
 		return
 	}
 	current.done = true
--- a/membership/protocol.go
+++ b/membership/protocol.go
@@ -9,7 +9,7 @@
 	sends := []Send{}
 	if !now.Before(m.nextProbe) {
 		m.nextProbe = now.Add(m.config.ProbeInterval)
-		sends = m.startProbe(now, sends)
+		sends = m.startProbe(sends)
 	}
 	if !now.Before(m.nextGossip) {
 		m.nextGossip = now.Add(m.config.GossipInterval)
--- a/plugin/quarantine/body.go
+++ b/plugin/quarantine/body.go
@@ -47,5 +47,5 @@
 		return
 	}
 	b.ended = true
-	b.plugin.finished(b.call, b.verdict, err)
+	_ = b.plugin.finished(b.call, b.verdict, err) // the reader of the body has its own error
 }
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -35,5 +35,5 @@
 	return min(time.Duration(seconds*float64(time.Second)), longestWait)
 }
 
-// longestWait bounds what is told of the time until a request may be admitted.
+// longestWait bounds the wait that a refused caller is told.
 const longestWait = time.Minute
