--- a/membership/config.go
+++ b/membership/config.go
@@ -26,7 +26,7 @@
 
 	// SuspicionIntervals is the number of probe intervals, times the decimal
 	// logarithm of the mesh size (at least 1), for which a suspect may
-	// contradict. Longer removes fewer healthy members, shorter finds failures
+	// refute. Longer removes fewer healthy members, shorter finds failures
 	// sooner. Default 3.
 	SuspicionIntervals float64
 
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -51,12 +51,12 @@
 // whole is the digest of the whole list.
 func (d *digests) whole() uint64 { return xxhash.Sum64(d.pack()) }
 
-// differing returns the parts that another process has otherwise. One that did
-// not tell its digests has them all otherwise.
+// differing returns the parts whose digests another process sent differ from these. Without
+// digests, all parts do.
 func (d *digests) differing(packed []byte) (differs [bucketCount]bool) {
-	told := len(packed) == bucketCount*bucketSize
+	complete := len(packed) == bucketCount*bucketSize
 	for i, part := range d {
-		differs[i] = !told || binary.LittleEndian.Uint32(packed[i*bucketSize:]) != part
+		differs[i] = !complete || binary.LittleEndian.Uint32(packed[i*bucketSize:]) != part
 	}
 	return differs
 }
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -4,8 +4,8 @@
 // other process an interval, in shuffled order, so that the cost for each
 // process does not grow with the mesh. A probe that fails is repeated through
 // other processes. When that fails too, the member is suspected, and after a
-// time without contradiction it is declared dead. A suspected member that
-// hears of it contradicts by raising its incarnation. What is learned rides on
+// time without refutation it is declared dead. A suspected member that
+// hears of it refutes by raising its incarnation. What is learned rides on
 // probes and on gossip messages, each of which carries a bounded number of
 // updates.
 //
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// apply merges a record that was received and reports whether it was news.
-func (m *Machine) apply(now time.Time, received Member) bool {
+// apply merges a record that was received.
+func (m *Machine) apply(now time.Time, received Member) {
 	if received.ID == m.self.ID {
-		return m.applySelf(received)
+		m.refute(received)
+		return
 	}
 	if m.replaced(now, received) {
-		return false
+		return
 	}
 	known, exists := m.members[received.ID]
-	if !exists {
-		return m.add(now, received)
-	}
-	if !supersedes(received, known.Member) {
-		return false
+	switch {
+	case !exists:
+		m.add(now, received)
+	case supersedes(received, known.Member):
+		m.replace(now, known, received)
 	}
-	m.replace(now, known, received)
-	return true
 }
 
-// supersedes reports whether a is later news of a member than b.
+// supersedes reports whether a is a later record of a member than b.
 func supersedes(a, b Member) bool {
 	if a.Version != b.Version {
 		return a.Version > b.Version
@@ -33,13 +32,12 @@
 	return a.Status > b.Status
 }
 
-// applySelf contradicts news that this process is suspected or dead.
-func (m *Machine) applySelf(received Member) bool {
+// refute answers a record that says that this process is suspected or dead.
+func (m *Machine) refute(received Member) {
 	if received.Version < m.self.Version || received.Status == Alive {
-		return false
+		return
 	}
 	m.updateSelf(func(self *Member) { self.Version = received.Version + 1 })
-	return true
 }
 
 // outlive goes above the generation of a predecessor that others still take for
@@ -79,16 +77,15 @@
 }
 
 // add takes a member that was not known. A dead one is not worth remembering.
-func (m *Machine) add(now time.Time, received Member) bool {
+func (m *Machine) add(now time.Time, received Member) {
 	if received.Status == Dead {
-		return false
+		return
 	}
 	known := &record{since: now}
 	m.members[received.ID] = known
 	m.byControl[received.Control] = append(m.byControl[received.Control], known)
 	m.set(now, known, received)
 	m.config.OnChange(Member{}, received)
-	return true
 }
 
 // replace takes a later record of a member.
@@ -127,7 +124,7 @@
 	m.changed = true
 }
 
-// suspicionTime is how long a suspect may contradict.
+// suspicionTime is how long a suspect has to refute.
 func (m *Machine) suspicionTime() time.Duration {
 	scale := max(1, math.Log10(float64(m.size())))
 	return time.Duration(m.config.SuspicionIntervals * scale * float64(m.config.ProbeInterval))
--- a/membership/protocol.go
+++ b/membership/protocol.go
@@ -100,7 +100,7 @@
 	}
 	reply := m.message(message.Kind)
 	// A sender that is suspected or believed dead here is told so, and can
-	// contradict at once.
+	// refute at once.
 	if known, exists := m.members[message.From.ID]; exists && known.Status != Alive {
 		reply.Updates = append(reply.Updates, known.Member)
 	} else if !exists {
@@ -110,7 +110,7 @@
 }
 
 // successors returns the members that are taken here for the process at the
-// address of a sender that is not known, so that it can contradict.
+// address of a sender that is not known, so that it can refute.
 func (m *Machine) successors(sender Member) []Member {
 	found := []Member{}
 	for _, known := range m.byControl[sender.Control] {
--- a/plugin/configsync/watch.go
+++ b/plugin/configsync/watch.go
@@ -163,7 +163,7 @@
 	defer cancel()
 	entry, err := s.process.Store.Watch(waiting, d.key, w.position, watchWait)
 	if err != nil && ctx.Err() == nil && waiting.Err() != nil {
-		return s.process.Store.Get(ctx, d.key) // whoever was to answer may be gone
+		return s.process.Store.Get(ctx, d.key) // the server that held the wait may be gone
 	}
 	return entry, err
 }
--- a/plugin/membership/log.go
+++ b/plugin/membership/log.go
@@ -24,7 +24,7 @@
 	m.process.Log.Emit(event.PeerUnreachable, "address", send.To, "error", err)
 }
 
-// logChange logs news of a member. It runs on the control loop.
+// logChange logs a change of a member's record. It runs on the control loop.
 func (m *mesh) logChange(before, after membership.Member) {
 	switch {
 	case after.ID == m.process.ID:
--- a/quota/throttle.go
+++ b/quota/throttle.go
@@ -4,7 +4,7 @@
 
 // Bounds in which a tenant may exceed its quota before it is throttled. What is left of
 // the tolerance covers what is admitted until all processes have heard. A part of the
-// slack lets small tenants have two or three requests at once, which says nothing of them.
+// slack lets small tenants have two or three requests at once, which is no sign that they exceed their quota.
 // TestQuotasHoldWhateverFails and TestReportsStayFew hold both.
 const (
 	nearShare = 0.05 // of the tolerance
