--- a/claims/groups.go
+++ b/claims/groups.go
@@ -66,6 +66,9 @@
 	Reset bool `json:"reset,omitempty"`
 }
 
+// HasMajority reports whether a number of the group's replicas is a majority.
+func (g Group) HasMajority(count int) bool { return count >= majority(len(g.Replicas)) }
+
 // StoreKey is the key of the Groups document in the store.
 const StoreKey = "loomcleat/claim-groups"
 
--- a/claims/plan.go
+++ b/claims/plan.go
@@ -80,12 +80,12 @@
 		}
 	}
 	switch {
-	case alive >= majority(len(group.Replicas)):
+	case group.HasMajority(alive):
 		if p.Voting != nil && !p.Voting(index) {
 			return group, false, false
 		}
 		return Group{Epoch: group.Epoch + 1, Replicas: wanted, Previous: group.Replicas}, true, false
-	case gone >= majority(len(group.Replicas)):
+	case group.HasMajority(gone):
 		return Group{Epoch: group.Epoch + 1, Replicas: wanted, Reset: true}, true, false
 	default:
 		return group, false, true
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -211,7 +211,7 @@
 		}
 	}
 	for group, count := range o.voting(ctx, document) {
-		if count < len(document.Groups[group].Replicas)/2+1 {
+		if !document.Groups[group].HasMajority(count) {
 			return false
 		}
 	}
--- a/plugin/once/planner.go
+++ b/plugin/once/planner.go
@@ -83,9 +83,7 @@
 			return 0, err
 		}
 		counts := o.voting(ctx, current)
-		planner.Voting = func(group int) bool {
-			return counts[group] >= len(current.Groups[group].Replicas)/2+1
-		}
+		planner.Voting = func(group int) bool { return current.Groups[group].HasMajority(counts[group]) }
 	}
 	plan := planner.Plan(current, candidates)
 	if plan.Changed == 0 {
--- a/plugin/once/replicas.go
+++ b/plugin/once/replicas.go
@@ -122,25 +122,20 @@
 	kernel.WriteJSON(w, wire.ClaimReply{Reply: reply, Revision: o.process.Documents.Revisions().Groups})
 }
 
-func (o *once) serveWithdraw(w http.ResponseWriter, r *http.Request) {
-	o.serveUpdate(w, r, wire.PathWithdraw)
-}
-
-func (o *once) serveFinish(w http.ResponseWriter, r *http.Request) {
-	o.serveUpdate(w, r, wire.PathFinish)
-}
-
-func (o *once) serveUpdate(w http.ResponseWriter, r *http.Request, path string) {
-	var update wire.ClaimUpdate
-	if !kernel.ReadJSON(w, r, &update) {
-		return
-	}
-	err := o.process.Loop.Do(r.Context(), func(time.Time) { o.update(path, update) })
-	if err != nil {
-		result.From(err).WriteHTTP(w)
-		return
+// serveUpdate returns the handler of withdrawals, or of answers to be stored, by the path.
+func (o *once) serveUpdate(path string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var update wire.ClaimUpdate
+		if !kernel.ReadJSON(w, r, &update) {
+			return
+		}
+		err := o.process.Loop.Do(r.Context(), func(time.Time) { o.update(path, update) })
+		if err != nil {
+			result.From(err).WriteHTTP(w)
+			return
+		}
+		kernel.WriteJSON(w, wire.Empty{})
 	}
-	kernel.WriteJSON(w, wire.Empty{})
 }
 
 // serveOutcome tells what became of a run of this process.
