--- a/store/consulkv/store.go
+++ b/store/consulkv/store.go
@@ -124,7 +124,7 @@
 	held := &lease{client: c, session: created.ID, key: name}
 	acquired, err := c.write(ctx, keyPath(name, url.Values{"acquire": {created.ID}}), []byte(holder))
 	if err != nil || !acquired {
-		_ = held.destroy(ctx) // the session lapses by itself when this fails
+		_ = held.Release(ctx) // the session lapses by itself when this fails
 		return nil, false, err
 	}
 	return held, true, nil
@@ -141,10 +141,6 @@
 
 // Release implements store.Lease.
 func (l *lease) Release(ctx context.Context) error {
-	return l.destroy(ctx)
-}
-
-func (l *lease) destroy(ctx context.Context) error {
 	_, err := l.client.do(ctx, http.MethodPut, "/v1/session/destroy/"+l.session, nil, 0)
 	return err
 }
