--- a/kernel/traffic.go
+++ b/kernel/traffic.go
@@ -35,17 +35,7 @@
 		noteFailedCall(call, answer, err)
 	}
 	defer func() { p.Counters.observe(direction, err, time.Since(started)) }()
-	if call != nil && call.Inbound {
-		p.addReport(w.Header(), call, answer)
-		w.Header()["Date"] = nil // the process that answers the caller adds it
-	}
-	behind := beginAnswer(r)
-	if p.Leaving() && !behind {
-		w.Header().Set("Connection", "close")
-	}
-	if err == nil && behind {
-		err = holdBody(answer.Response)
-	}
+	err = p.beginHead(w.Header(), r, call, answer, err)
 	if err != nil {
 		p.logEnd(r, call, direction, err, time.Since(started))
 		p.advise(call, err).WriteHTTP(w)
@@ -56,6 +46,25 @@
 	writeAnswer(w, answer.Response)
 }
 
+// beginHead adds to the head of an answer, or of the failure err, what this process itself
+// has to say. With requests behind it on its connection, which would be lost with the
+// connection, an answer that breaks off is found out first: it returns the failure that
+// then stands in its place, or err.
+func (p *Process) beginHead(header http.Header, r *http.Request, call *Call, answer *Answer, err error) error {
+	if call != nil && call.Inbound {
+		p.addReport(header, call, answer)
+		header["Date"] = nil // the process that answers the caller adds it
+	}
+	behind := beginAnswer(r)
+	if p.Leaving() && !behind {
+		header.Set("Connection", "close")
+	}
+	if err == nil && behind {
+		return holdBody(answer.Response)
+	}
+	return err
+}
+
 // noteFailedCall records a failed call of the own back end with the request that it was
 // made for: when that fails as well, it follows from the call.
 func noteFailedCall(call *Call, answer *Answer, err error) {
