--- a/wire/list.go
+++ b/wire/list.go
@@ -52,8 +52,8 @@
 
 func (w *listWriter) String() string { return w.text.String() }
 
-// readList calls take with each named value of a list. Parts that are none are passed
-// over.
+// readList calls take with each named value of a list. Parts that can't be read are passed
+// over, as unknown names are.
 func readList(text string, take func(name, value string)) {
 	for text != "" {
 		var part string
@@ -70,7 +70,8 @@
 	}
 }
 
-// numberOf reads a whole number, 0 when it is none.
+// numberOf reads a whole number. Processes write nothing else; what can't be read counts
+// as left out, as unknown names do.
 func numberOf(text string) int64 {
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
