--- a/kernel/executions.go
+++ b/kernel/executions.go
@@ -10,8 +10,8 @@
 // executionShards spreads the lock of the table.
 const executionShards = 64
 
-// Executions is the table of requests that the back end is working on.
-type Executions struct {
+// executionTable is the table of the requests that the back end is working on.
+type executionTable struct {
 	prefix string
 	next   atomic.Uint64
 	shards [executionShards]executionShard
@@ -22,22 +22,22 @@
 	byID  map[string]*Execution
 }
 
-func newExecutions(prefix string) *Executions {
-	table := &Executions{prefix: prefix}
+func newExecutionTable(prefix string) *executionTable {
+	table := &executionTable{prefix: prefix}
 	for i := range table.shards {
 		table.shards[i].byID = map[string]*Execution{}
 	}
 	return table
 }
 
-func (t *Executions) shard(token string) *executionShard {
+func (t *executionTable) shard(token string) *executionShard {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(token))
 	return &t.shards[digest.Sum32()%executionShards]
 }
 
 // add gives the execution a token and enters it.
-func (t *Executions) add(execution *Execution) {
+func (t *executionTable) add(execution *Execution) {
 	execution.Token = t.prefix + "." + strconv.FormatUint(t.next.Add(1), 36)
 	t.put(execution.Token, execution)
 	if execution.RequestID != "" {
@@ -49,7 +49,7 @@
 // token, which begins with the id of the process.
 func requestKey(requestID string) string { return " " + requestID }
 
-func (t *Executions) put(key string, execution *Execution) {
+func (t *executionTable) put(key string, execution *Execution) {
 	shard := t.shard(key)
 	shard.mutex.Lock()
 	shard.byID[key] = execution
@@ -57,7 +57,7 @@
 }
 
 // remove ends an execution.
-func (t *Executions) remove(execution *Execution) {
+func (t *executionTable) remove(execution *Execution) {
 	t.drop(execution.Token, execution)
 	if execution.RequestID != "" {
 		t.drop(requestKey(execution.RequestID), execution)
@@ -65,7 +65,7 @@
 }
 
 // drop removes a key unless it stands for another execution by now.
-func (t *Executions) drop(key string, execution *Execution) {
+func (t *executionTable) drop(key string, execution *Execution) {
 	shard := t.shard(key)
 	shard.mutex.Lock()
 	if shard.byID[key] == execution {
@@ -76,12 +76,12 @@
 
 // findRequest returns the execution of the request with the caller's name, nil
 // when there is none.
-func (t *Executions) findRequest(requestID string) *Execution {
+func (t *executionTable) findRequest(requestID string) *Execution {
 	return t.find(requestKey(requestID))
 }
 
 // find returns the execution with the given token, nil when there is none.
-func (t *Executions) find(token string) *Execution {
+func (t *executionTable) find(token string) *Execution {
 	shard := t.shard(token)
 	shard.mutex.Lock()
 	defer shard.mutex.Unlock()
--- a/kernel/outbound_test.go
+++ b/kernel/outbound_test.go
@@ -20,7 +20,7 @@
 
 // entryProcess is a process that knows one route and one request in progress.
 func entryProcess() *Process {
-	p := &Process{Settings: settings.Default(settings.RoleNode), Log: event.Discard(), executions: newExecutions("p")}
+	p := &Process{Settings: settings.Default(settings.RoleNode), Log: event.Discard(), executions: newExecutionTable("p")}
 	p.Settings.Service = "own"
 	p.Dialect = wire.Dialect{
 		RequestID:     "Name",
--- a/kernel/process.go
+++ b/kernel/process.go
@@ -54,7 +54,7 @@
 	BackEnd BackEnd
 
 	hooks      hooks
-	executions *Executions
+	executions *executionTable
 	splits     splitCounters
 	identities identities
 	endpoints  []Endpoint
@@ -115,7 +115,7 @@
 	p.context, p.cancel = context.WithCancel(context.Background())
 	p.Policy.Store(policy.NewIndex(nil))
 	p.Members.Store(&[]membership.Member{})
-	p.executions = newExecutions(p.ID)
+	p.executions = newExecutionTable(p.ID)
 	p.identities.setUp()
 	p.Control = newControlClient(&p.Counters, options.Dial, controlIdleTimeout)
 	p.Counters.register(p.Metrics)
