--- a/plugin/retry/retry_test.go
+++ b/plugin/retry/retry_test.go
@@ -159,3 +159,33 @@
 	is.True(err != nil)
 	is.True(made <= 1+budget)
 }
+
+// Symptom: a call arrived at back ends more often than its route and its retry budget allow.
+//
+// Sequence: a committed call meets a node that is not there, then a back end that refuses it.
+// No retry is left. The call pauses, as for the node that was not there, and is sent again.
+//
+// Cause: whether a call may pause was decided by the absence alone. The attempt after the
+// pause was neither paid for nor counted, although one had arrived at a back end.
+//
+// Log: attempt-repeated with code 2012 (backend-refused) for a call without retries.
+func TestAPauseDoesNotReplaceAPaidRetry(t *testing.T) {
+	is := is.New(t)
+	process := sharedProcess()
+	r := &retrier{process: process, limiter: newLimiter(process)}
+	ends := []result.Code{result.NodeRefused, result.BackendRefused}
+	attempts := 0
+	handler := r.middleware(kernel.HandlerFunc(func(*kernel.Call) (*kernel.Answer, error) {
+		attempts++
+		if attempts <= len(ends) {
+			return nil, result.New(ends[attempts-1], "test")
+		}
+		return answered(http.StatusOK), nil
+	}))
+	_, err := handler.Handle(&kernel.Call{
+		Context: context.Background(), Service: "s", Body: kernel.NewBufferedBody(nil), Budget: retrybudget.Open(0),
+		Deadline: clock.Now().Add(time.Minute), Hops: 1, Policy: policy.Effective{Repeatable: true, MaximumAttempts: 1},
+	})
+	is.Equal(attempts, len(ends))
+	is.Equal(result.From(err).Code, result.BackendRefused)
+}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -155,9 +155,10 @@
 
 // mayPause reports whether a call that no node has taken may be offered once more after a
 // pause: a node was absent, other services have worked for the user request, there is time,
-// and the offer is free.
+// and the offer is free. A call that a back end refused has arrived there, so that it is
+// sent again only when the budgets have a retry left.
 func mayPause(s Situation) bool {
-	notTaken := s.Err != nil && s.Err.NotRun()
+	notTaken := s.Err != nil && s.Err.NotRun() && !s.Err.Code.Conclusion().ByBackEnd
 	return notTaken && s.Absent && s.SharedBudget && s.Committed && s.Sendable &&
 		s.Left > AbsencePause+LeastTimeElsewhere
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -48,6 +48,8 @@
 		{"a faster node may serve it", result.DeadlineTooShort, func(*Situation) {}, free},
 		{"no time left is final", result.DeadlineTooShort, func(s *Situation) { s.Left = LeastTimeElsewhere }, end},
 		{"refused by the back end", result.BackendRefused, func(*Situation) {}, landed},
+		{"refused by the back end after an absent node", result.BackendRefused, func(s *Situation) { s.Absent = true }, landed},
+		{"the same, at the last offer of a round", result.BackendRefused, func(s *Situation) { s.Absent, s.Offers = true, MaximumOffers }, end},
 		{"attempts of the route are spent", result.BackendRefused, func(s *Situation) { s.MaximumArrivals = 1 }, Decision{Arrived: true}},
 		{"one attempt of the route is left", result.BackendRefused, func(s *Situation) { s.MaximumArrivals, s.Arrivals = 3, 1 }, landed},
 		{"it may have run, repeatable", result.ConnectionLost, func(*Situation) {}, landed},
