--- a/kernel/process.go
+++ b/kernel/process.go
@@ -43,7 +43,7 @@
 	MachineState atomic.Pointer[MachineState]
 	// BackEndLoad is what the back end beside this process last told of its load, nil
 	// when it has told nothing.
-	BackEndLoad atomic.Pointer[ToldLoad]
+	BackEndLoad atomic.Pointer[ReportedLoad]
 	// Documents and Mesh are set during set-up by plug-ins.
 	Documents Documents
 	Mesh      Mesh
--- a/kernel/services.go
+++ b/kernel/services.go
@@ -31,8 +31,8 @@
 type Mesh interface {
 	// SetState announces whether this process leaves and its back end is down.
 	SetState(leaving, down bool)
-	// SetPlaces announces the votes of other replicas that this process has in claim groups.
-	SetPlaces(places []string)
+	// SetVotes announces the votes of other replicas that this process has in claim groups.
+	SetVotes(votes []string)
 	// SetSeeds replaces the addresses at which the mesh is looked for.
 	SetSeeds(seeds []string)
 	// Announce spreads the revisions of this process at once.
--- a/kernel/state.go
+++ b/kernel/state.go
@@ -9,8 +9,8 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// ToldLoad is the load that a back end told, and when.
-type ToldLoad struct {
+// ReportedLoad is the load that a back end reported, and when.
+type ReportedLoad struct {
 	wire.BackEndLoad
 	At time.Time
 }
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -89,13 +89,13 @@
 	})
 }
 
-// SetPlaces announces a changed list of what the caller holds: see Member.Places.
-func (m *Machine) SetPlaces(places []string) {
-	if slices.Equal(m.self.Places, places) {
+// SetVotes announces the votes that the caller has now: see Member.Votes.
+func (m *Machine) SetVotes(votes []string) {
+	if slices.Equal(m.self.Votes, votes) {
 		return
 	}
 	m.updateSelf(func(self *Member) {
-		self.Places = places
+		self.Votes = votes
 		self.Version++
 	})
 }
--- a/membership/types.go
+++ b/membership/types.go
@@ -38,9 +38,9 @@
 	Leaving    bool   `json:"lv,omitempty"` // takes no new requests
 	Down       bool   `json:"dn,omitempty"` // its back end refuses connections
 	Accuser    string `json:"by,omitempty"` // who suspects it
-	// Places lists what else the member announces of itself; the machine does
+	// Votes lists the votes of other claim replicas that the member has; the machine does
 	// not look at it.
-	Places []string `json:"pl,omitempty"`
+	Votes []string `json:"pl,omitempty"`
 }
 
 // Kind is the purpose of a message.
--- a/plugin/admission/occupancy_test.go
+++ b/plugin/admission/occupancy_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestTheToldLoadCounts beside what the node has handed over, while it is fresh.
-func TestTheToldLoadCounts(t *testing.T) {
+// TestTheReportedLoadCounts beside what the node has handed over, while it is fresh.
+func TestTheReportedLoadCounts(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
 		name    string
@@ -52,7 +52,7 @@
 			for range 2 {
 				a.controller.Ask(now, admission.Request{}, func(admission.Verdict) {})
 			}
-			a.process.BackEndLoad.Store(&kernel.ToldLoad{BackEndLoad: wire.BackEndLoad{Running: c.running, Slots: 4}, At: now.Add(-c.age)})
+			a.process.BackEndLoad.Store(&kernel.ReportedLoad{BackEndLoad: wire.BackEndLoad{Running: c.running, Slots: 4}, At: now.Add(-c.age)})
 			is.Equal(a.occupancy(now).Load, c.want)
 		})
 	}
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if load != nil {
-		f.process.BackEndLoad.Store(&kernel.ToldLoad{BackEndLoad: *load, At: time.Now()})
+		f.process.BackEndLoad.Store(&kernel.ReportedLoad{BackEndLoad: *load, At: time.Now()})
 	}
 }
 
--- a/plugin/membership/log.go
+++ b/plugin/membership/log.go
@@ -28,7 +28,7 @@
 func (m *mesh) logChange(before, after membership.Member) {
 	switch {
 	case after.ID == m.process.ID:
-		announced := after.Leaving != before.Leaving || after.Down != before.Down || !slices.Equal(after.Places, before.Places)
+		announced := after.Leaving != before.Leaving || after.Down != before.Down || !slices.Equal(after.Votes, before.Votes)
 		if !announced {
 			m.process.Log.Emit(event.SelfRefuted, "incarnation", after.Version)
 		}
--- a/plugin/membership/setup.go
+++ b/plugin/membership/setup.go
@@ -85,8 +85,8 @@
 	m.machine.SetState(leaving || m.process.Announced(), down)
 }
 
-// SetPlaces implements kernel.Mesh.
-func (m *mesh) SetPlaces(places []string) { m.machine.SetPlaces(places) }
+// SetVotes implements kernel.Mesh.
+func (m *mesh) SetVotes(votes []string) { m.machine.SetVotes(votes) }
 
 // SetSeeds implements kernel.Mesh.
 func (m *mesh) SetSeeds(seeds []string) { m.machine.SetSeeds(seeds) }
--- a/plugin/once/planner.go
+++ b/plugin/once/planner.go
@@ -124,7 +124,7 @@
 	}
 	represented := map[string]bool{} // replicas whose votes live members have taken
 	for _, member := range members {
-		for _, vote := range member.Places {
+		for _, vote := range member.Votes {
 			if _, replica, found := cutVoteName(vote); found && member.Status != membership.Dead {
 				represented[replica] = true
 			}
--- a/plugin/once/votes.go
+++ b/plugin/once/votes.go
@@ -39,7 +39,7 @@
 	for _, vote := range o.replica.TakenVotes() {
 		names = append(names, voteName(vote))
 	}
-	o.process.Mesh.SetPlaces(names)
+	o.process.Mesh.SetVotes(names)
 }
 
 // holder returns the process that has the vote of a replica: the replica itself, unless
@@ -47,7 +47,7 @@
 func (o *once) holder(replica claims.Process, group int, epoch uint64) claims.Process {
 	name := voteName(claims.Vote{Group: group, Epoch: epoch, Replica: replica.ID})
 	for _, member := range *o.process.Members.Load() {
-		if member.Status != membership.Dead && slices.Contains(member.Places, name) {
+		if member.Status != membership.Dead && slices.Contains(member.Votes, name) {
 			return claims.Process{ID: member.ID, Control: member.Control}
 		}
 	}
