--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -65,7 +65,7 @@
 		backends = append(backends, b)
 	}
 	for _, b := range backends {
-		until(t, "readiness", func() bool { return b.node.ready() == http.StatusOK })
+		eventually(t, "readiness", func() bool { return b.node.ready() == http.StatusOK })
 		is.Equal(b.node.beat("ready"), http.StatusOK)
 		b.node.served(t, "/front/x", "")
 	}
@@ -249,14 +249,14 @@
 // it is refused everywhere and all back ends are there again.
 func crashThree(t *testing.T, backends []*crashingBackend) {
 	t.Helper()
-	until(t, "three back ends to end", func() bool {
+	eventually(t, "three back ends to end", func() bool {
 		backends[0].node.get(crashingPath, "")
 		count, _ := crashesOf(backends)
 		return count >= 3
 	})
 	for _, b := range backends {
 		b.node.served(t, "/front/x", "")
-		until(t, "the request to be refused", func() bool {
+		eventually(t, "the request to be refused", func() bool {
 			return b.node.get(crashingPath, "").status == http.StatusServiceUnavailable
 		})
 	}
@@ -272,7 +272,7 @@
 	crashThree(t, backends)
 	before, _ := crashesOf(backends)
 	refusedBy := func(b *crashingBackend) {
-		until(t, "readiness", func() bool { return b.node.ready() == http.StatusOK })
+		eventually(t, "readiness", func() bool { return b.node.ready() == http.StatusOK })
 		is.Equal(b.node.beat("ready"), http.StatusOK)
 		b.node.served(t, "/front/x", "")
 		time.Sleep(knownAfter)
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -221,7 +221,7 @@
 			platformRequests.Add(1), header)
 		is.NoErr(err)
 	}
-	until(t, "the row to begin", func() bool { return runsAt.runs.Load() >= whole })
+	eventually(t, "the row to begin", func() bool { return runsAt.runs.Load() >= whole })
 	meanwhile()
 	statuses := []int{}
 	for _, answer := range readAnswers(t, conn, len(headers)) {
@@ -251,23 +251,13 @@
 func (n *platformNode) served(t *testing.T, path, call string) platformAnswer {
 	t.Helper()
 	var got platformAnswer
-	until(t, path+" to be served", func() bool {
+	eventually(t, path+" to be served", func() bool {
 		got = n.get(path, call)
 		return got.status == http.StatusOK && !strings.Contains(got.body, "[503")
 	})
 	return got
 }
 
-// until waits for a condition that must come true.
-func until(t *testing.T, what string, holds func() bool) {
-	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
-		}
-	}
-}
-
 // platformConfiguration routes /front/ to one service and /deep/ to "deep".
 func platformConfiguration(version int, front string) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"hosts":[{"host":"shop.example","paths":[
@@ -286,14 +276,14 @@
 
 	// No configuration is known yet: not ready, and nobody is told that there is no route.
 	for _, n := range nodes {
-		until(t, "the probe to be answered", func() bool { return n.ready() == http.StatusServiceUnavailable })
+		eventually(t, "the probe to be answered", func() bool { return n.ready() == http.StatusServiceUnavailable })
 		refused := n.get("/front/x", "")
 		is.Equal(refused.status, http.StatusServiceUnavailable)
 		is.True(refused.retryAfter != "")
 	}
 	stub.Put("op/config", platformConfiguration(3, "front"))
 	for _, n := range nodes {
-		until(t, "readiness", func() bool { return n.ready() == http.StatusOK })
+		eventually(t, "readiness", func() bool { return n.ready() == http.StatusOK })
 		is.Equal(n.beat("ready"), http.StatusOK)
 	}
 
@@ -313,13 +303,13 @@
 	stub.SetFaults(metastore.Faults{MuteWaits: true})
 	stub.Put("op/config", platformConfiguration(8, "deep"))
 	for _, n := range nodes {
-		until(t, "the change", func() bool { return strings.HasPrefix(n.get("/front/x", "").body, "deep for") })
+		eventually(t, "the change", func() bool { return strings.HasPrefix(n.get("/front/x", "").body, "deep for") })
 	}
 	stub.SetFaults(metastore.Faults{})
 
 	// A change of the settings file, announced or not, ends nothing.
 	front.signal(syscall.SIGHUP)
-	until(t, "the reload", func() bool { return strings.Contains(front.log.String(), "settings-reloaded") })
+	eventually(t, "the reload", func() bool { return strings.Contains(front.log.String(), "settings-reloaded") })
 	front.served(t, "/front/x", "")
 
 	// Requests in a row are served together; one whose answer breaks off loses nobody.
@@ -328,7 +318,7 @@
 
 	// A back end that leaves gets nothing any more.
 	is.Equal(deep.beat("draining"), http.StatusOK)
-	until(t, "the back end to be closed", func() bool { return front.get("/deep/y", "").status == http.StatusServiceUnavailable })
+	eventually(t, "the back end to be closed", func() bool { return front.get("/deep/y", "").status == http.StatusServiceUnavailable })
 	before := deep.runs.Load()
 	refused := front.get("/deep/y", "")
 	is.Equal(refused.status, http.StatusServiceUnavailable)
@@ -337,7 +327,7 @@
 
 	// A planned stop is seen by the probe before the process ends.
 	front.signal(syscall.SIGTERM)
-	until(t, "the probe to fail", func() bool { return front.ready() != http.StatusOK })
+	eventually(t, "the probe to fail", func() bool { return front.ready() != http.StatusOK })
 	front.terminate()
 	is.NoErr(front.err)
 	is.True(strings.Contains(front.log.String(), "process-stopped"))
@@ -359,13 +349,13 @@
 	front := startPlatformNode(t, store.URL, "front")
 	deep := startPlatformNode(t, store.URL, "deep")
 	for _, n := range []*platformNode{front, deep} {
-		until(t, "readiness", func() bool { return n.ready() == http.StatusOK })
+		eventually(t, "readiness", func() bool { return n.ready() == http.StatusOK })
 		is.Equal(n.beat("ready"), http.StatusOK)
 	}
 	deep.served(t, "/front/x", "")
 	statuses := deep.row(t, front, []string{"Work: 300ms", "Work: 600ms", "Work: 50ms"}, func() {
 		deep.signal(syscall.SIGTERM)
-		until(t, "the probe to fail", func() bool { return deep.ready() != http.StatusOK })
+		eventually(t, "the probe to fail", func() bool { return deep.ready() != http.StatusOK })
 	})
 	is.Equal(statuses, []int{http.StatusOK, http.StatusOK, http.StatusOK})
 	deep.terminate()
--- a/e2e/suspended_test.go
+++ b/e2e/suspended_test.go
@@ -84,9 +84,9 @@
 	backend := httptest.NewServer(http.HandlerFunc(front.serveBackend))
 	t.Cleanup(backend.Close)
 	front.startBeside(t, store.URL, backend.Listener.Addr().String(), "key_revocation: "+revocationTime.String())
-	until(t, "readiness", func() bool { return front.ready() == http.StatusOK })
+	eventually(t, "readiness", func() bool { return front.ready() == http.StatusOK })
 	is.Equal(front.beat("ready"), http.StatusOK)
-	until(t, "a request to be served", func() bool { return front.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
+	eventually(t, "a request to be served", func() bool { return front.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
 
 	runs := front.runs.Load()
 	clock.suspend(30*time.Second, func() {
@@ -97,7 +97,7 @@
 	is.Equal(front.runs.Load(), runs) // it did not run
 
 	// The policy in force is found, and goes by at once.
-	until(t, "the old key to be unknown", func() bool {
+	eventually(t, "the old key to be unknown", func() bool {
 		return front.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized
 	})
 	is.Equal(front.ask(t, "/front/x", "secret-of-the-new", nil).StatusCode, http.StatusOK)
--- a/e2e/tenants_test.go
+++ b/e2e/tenants_test.go
@@ -72,10 +72,10 @@
 	}
 	k.front, k.deep = nodes[0], nodes[1]
 	for _, n := range nodes {
-		until(t, "readiness", func() bool { return n.ready() == http.StatusOK })
+		eventually(t, "readiness", func() bool { return n.ready() == http.StatusOK })
 		is.Equal(n.beat("ready"), http.StatusOK)
 	}
-	until(t, "a request to be served", func() bool { return k.deep.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
+	eventually(t, "a request to be served", func() bool { return k.deep.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
 	return k
 }
 
@@ -131,7 +131,7 @@
 		k.deep.ask(t, "/front/x", keyOfSmith, map[string]string{"X-Attempt-Id": "running", "Work": "1s"})
 	}()
 	before := k.front.runs.Load()
-	until(t, "the request to run", func() bool { return k.front.runs.Load() > before })
+	eventually(t, "the request to run", func() bool { return k.front.runs.Load() > before })
 	is.Equal(k.front.ask(t, "/front/x", "", map[string]string{"X-Attempt-Id": "running.1"}).StatusCode, http.StatusUnauthorized)
 	<-running
 
@@ -142,7 +142,7 @@
 	// A key that is taken away stops working, and another one begins.
 	k.stub.Put("op/config", tenantsConfiguration(5, `[{"name":"smith","api_keys":["secret-of-the-new"]}]`))
 	for _, n := range []*platformNode{k.front, k.deep} {
-		until(t, "the key to stop working", func() bool {
+		eventually(t, "the key to stop working", func() bool {
 			return n.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized
 		})
 		is.Equal(n.ask(t, "/front/x", "secret-of-the-new", nil).StatusCode, http.StatusOK)
@@ -200,7 +200,7 @@
 	k.stub.Put("op/config", tenantsConfiguration(4, "[]")) // of which nobody hears
 	for _, n := range []*platformNode{k.front, k.deep} {
 		var refused *http.Response
-		until(t, "the keys to be refused", func() bool {
+		eventually(t, "the keys to be refused", func() bool {
 			asked := time.Now()
 			refused = n.ask(t, "/front/x", keyOfSmith, nil)
 			if refused.StatusCode == http.StatusOK && asked.Sub(cutAt) > revocationTime {
@@ -213,7 +213,7 @@
 	}
 	k.doors[0].shut.Store(false)
 	for _, n := range []*platformNode{k.front, k.deep} {
-		until(t, "the news", func() bool { return n.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized })
+		eventually(t, "the news", func() bool { return n.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized })
 	}
 }
 
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -75,7 +75,7 @@
 	// Patience is the time that the caller gave the request, 0 when it did not say.
 	Patience time.Duration
 	// Pressure is the highest that any attempt of the call met: the time spent
-	// waiting for places as a multiple of what it should be.
+	// waiting for slots as a multiple of what it should be.
 	Pressure float64
 	// RoomAfter is the time after which a call like this one may find room if it is
 	// refused, 0 when nothing is known. Set by the plug-in that admits routes.
--- a/kernel/chain.go
+++ b/kernel/chain.go
@@ -6,7 +6,7 @@
 	"drain",      // refuse when stopping
 	"deadline",   // refuse what is out of time, bound the rest
 	"instance",   // refuse while the back end is unknown or has left
-	"admission",  // wait for a place beside the back end
+	"admission",  // wait for a slot of the back end
 	"once",       // claim what may not be repeated
 	"quarantine", // refuse what crashes back ends
 	"forward",    // hand to the back end
--- a/plugin/all/all.go
+++ b/plugin/all/all.go
@@ -3,7 +3,7 @@
 package all
 
 import (
-	_ "github.com/loomcleat/loomcleat/plugin/admission"  // places beside the back end
+	_ "github.com/loomcleat/loomcleat/plugin/admission"  // slots of the back end
 	_ "github.com/loomcleat/loomcleat/plugin/configsync" // documents that are spread
 	_ "github.com/loomcleat/loomcleat/plugin/deadline"   // time left
 	_ "github.com/loomcleat/loomcleat/plugin/drain"      // orderly stop
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -68,7 +68,7 @@
 }
 
 // expect names the incarnation that may run the call. It is looked up once more
-// here, since the back end may have left while the call waited for a place.
+// here, since the back end may have left while the call waited for a slot.
 func (f *forward) expect(call *kernel.Call) (instance string, err error) {
 	if f.process.BackEnd == nil {
 		return "", nil
--- a/wire/report.go
+++ b/wire/report.go
@@ -12,7 +12,7 @@
 	// request would admit now, 0 to 1024.
 	Level int
 	// Pressure is the highest pressure that the request met at this node or below: the
-	// time waited for a place as a multiple of what it should be. Sent in whole percent,
+	// time waited for a slot as a multiple of what it should be. Sent in whole percent,
 	// as the shares below.
 	Pressure float64
 	// LoadKnown says that the node has told its load.
