--- a/kernel/pause.go
+++ b/kernel/pause.go
@@ -14,3 +14,12 @@
 	case <-ctx.Done():
 	}
 }
+
+// Wake tells the goroutine that waits on due that there is work. due holds one signal: one
+// that comes while another waits adds nothing, since both are served by the same run.
+func Wake(due chan<- struct{}) {
+	select {
+	case due <- struct{}{}:
+	default:
+	}
+}
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -17,12 +17,7 @@
 const collectInterval = 100 * time.Millisecond
 
 // wakeCollector makes collectClaims look at once.
-func (o *once) wakeCollector() {
-	select {
-	case o.wake <- struct{}{}:
-	default:
-	}
-}
+func (o *once) wakeCollector() { kernel.Wake(o.wake) }
 
 // collectClaims collects the claims of groups in which this process is a new
 // replica, until it votes there.
--- a/plugin/quarantine/crashcheck.go
+++ b/plugin/quarantine/crashcheck.go
@@ -45,12 +45,7 @@
 }
 
 // requestCheck wakes detectCrashes.
-func (p *plugin) requestCheck() {
-	select {
-	case p.checkDue <- struct{}{}:
-	default: // it is about to check
-	}
-}
+func (p *plugin) requestCheck() { kernel.Wake(p.checkDue) }
 
 // detectCrashes finds out whether the back end has crashed, each time a request was lost.
 func (p *plugin) detectCrashes(ctx context.Context) {
--- a/plugin/quarantine/stored.go
+++ b/plugin/quarantine/stored.go
@@ -50,12 +50,7 @@
 }
 
 // save has what is in quarantine written to the store.
-func (p *plugin) save() {
-	select {
-	case p.saveDue <- struct{}{}:
-	default: // it is about to be written
-	}
-}
+func (p *plugin) save() { kernel.Wake(p.saveDue) }
 
 // persist repeats a step until it is done. The first error is logged.
 func (p *plugin) persist(ctx context.Context, step func(context.Context) (bool, error)) {
--- a/plugin/quota/admit.go
+++ b/plugin/quota/admit.go
@@ -42,9 +42,4 @@
 }
 
 // reportSoon wakes the goroutine that reports.
-func (l *limiter) reportSoon() {
-	select {
-	case l.wake <- struct{}{}:
-	default: // one is due already
-	}
-}
+func (l *limiter) reportSoon() { kernel.Wake(l.wake) }
