--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -11,15 +11,15 @@
 
 var epoch = time.Unix(1000, 0)
 
-// desk is a Controller with a record of its verdicts.
-type desk struct {
+// testController is a Controller that records its verdicts by name of the request.
+type testController struct {
 	*Controller
 	verdicts []string
 	tickets  map[string]*Ticket
 }
 
-func newDesk(limit int) *desk {
-	return &desk{
+func newTestController(limit int) *testController {
+	return &testController{
 		Controller: NewController(epoch, Config{MinimumLimit: limit, MaximumLimit: limit, QueueTime: 50 * time.Millisecond}),
 		tickets:    map[string]*Ticket{},
 	}
@@ -27,24 +27,24 @@
 
 var verdictNames = map[Verdict]string{Admitted: "in", BelowLevel: "below", QueueFull: "full", TooLate: "late"}
 
-// ask asks at a time after the start, with a deadline after that time.
-func (d *desk) ask(at time.Duration, name string, priority int, left time.Duration) {
-	d.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left)})
+// ask requests admission at a time after epoch. The deadline is left after that time.
+func (tc *testController) ask(at time.Duration, name string, priority int, left time.Duration) {
+	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left)})
 }
 
-// askCommitted asks for a request for which other services have worked.
-func (d *desk) askCommitted(at time.Duration, name string, priority int, left time.Duration) {
-	d.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left), Committed: true})
+// askWithUpstreamWork is ask for a request with upstream work.
+func (tc *testController) askWithUpstreamWork(at time.Duration, name string, priority int, left time.Duration) {
+	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left), Committed: true})
 }
 
-func (d *desk) request(at time.Duration, name string, request Request) {
-	d.tickets[name] = d.Ask(epoch.Add(at), request, func(verdict Verdict) {
-		d.verdicts = append(d.verdicts, name+" "+verdictNames[verdict])
+func (tc *testController) request(at time.Duration, name string, request Request) {
+	tc.tickets[name] = tc.Ask(epoch.Add(at), request, func(verdict Verdict) {
+		tc.verdicts = append(tc.verdicts, name+" "+verdictNames[verdict])
 	})
 }
 
-func (d *desk) done(at time.Duration, own time.Duration) {
-	d.Done(epoch.Add(at), &Ticket{}, Outcome{Own: own, Counted: true})
+func (tc *testController) done(at time.Duration, own time.Duration) {
+	tc.Done(epoch.Add(at), &Ticket{}, Outcome{Own: own, Counted: true})
 }
 
 const ms = time.Millisecond
@@ -52,106 +52,106 @@
 func TestController(t *testing.T) {
 	cases := []struct {
 		name string
-		play func(*desk)
+		run  func(*testController)
 		want string
 	}{
-		{"a free place", func(d *desk) { d.ask(0, "a", 0, time.Second) }, "a in"},
-		{"waits for a place", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "b", 0, time.Second)
-			d.done(2*ms, ms)
+		{"free slot", func(tc *testController) { tc.ask(0, "a", 0, time.Second) }, "a in"},
+		{"waits for a slot", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "b", 0, time.Second)
+			tc.done(2*ms, ms)
 		}, "a in, b in"},
-		{"the important before the others", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "low", 100, time.Second)
-			d.ask(ms, "high", 900, time.Second)
-			d.ask(ms, "middle", 500, time.Second)
-			d.done(2*ms, ms)
-			d.done(3*ms, ms)
+		{"highest priority first", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "low", 100, time.Second)
+			tc.ask(ms, "high", 900, time.Second)
+			tc.ask(ms, "middle", 500, time.Second)
+			tc.done(2*ms, ms)
+			tc.done(3*ms, ms)
 		}, "a in, high in, middle in"},
-		{"the newest among equals", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "old", 100, time.Second)
-			d.ask(2*ms, "new", 100, time.Second)
-			d.done(3*ms, ms)
+		{"newest first within a priority", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "old", 100, time.Second)
+			tc.ask(2*ms, "new", 100, time.Second)
+			tc.done(3*ms, ms)
 		}, "a in, new in"},
-		{"waited too long", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "b", 0, time.Second)
-			d.Expire(epoch.Add(52 * ms))
+		{"maximum queue time passes", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "b", 0, time.Second)
+			tc.Expire(epoch.Add(52 * ms))
 		}, "a in, b full"},
-		{"no time left", func(d *desk) { d.ask(0, "a", 0, 0) }, "a late"},
-		{"less time left than the back end needs", func(d *desk) {
+		{"deadline has passed", func(tc *testController) { tc.ask(0, "a", 0, 0) }, "a late"},
+		{"less time left than the back end takes", func(tc *testController) {
 			for i := range 100 {
-				d.ask(time.Duration(i)*ms, "x", 0, time.Minute)
-				d.done(time.Duration(i)*ms, time.Second)
+				tc.ask(time.Duration(i)*ms, "x", 0, time.Minute)
+				tc.done(time.Duration(i)*ms, time.Second)
 			}
-			d.verdicts = nil
-			d.ask(time.Second, "a", 0, 100*ms)
+			tc.verdicts = nil
+			tc.ask(time.Second, "a", 0, 100*ms)
 		}, "a late"},
-		{"the deadline passes in the queue", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "b", 0, 10*ms)
-			d.done(20*ms, ms)
+		{"deadline passes in the queue", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "b", 0, 10*ms)
+			tc.done(20*ms, ms)
 		}, "a in, b late"},
-		{"a full queue drops the least important", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "b", 300, time.Second)
-			d.ask(ms, "c", 100, time.Second)
-			d.ask(ms, "d", 200, time.Second)
-			d.ask(ms, "e", 400, time.Second)
+		{"full queue drops the lowest priority", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "b", 300, time.Second)
+			tc.ask(ms, "c", 100, time.Second)
+			tc.ask(ms, "d", 200, time.Second)
+			tc.ask(ms, "e", 400, time.Second)
 		}, "a in, c full"},
-		{"the committed before others of the class", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "high", 200, time.Second)
-			d.askCommitted(ms, "committed", 100, time.Second)
-			d.done(2*ms, ms)
-			d.done(3*ms, ms)
-		}, "a in, committed in, high in"},
-		{"but not before a higher class", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "higher", 300, time.Second)
-			d.askCommitted(ms, "committed", 100, time.Second)
-			d.done(2*ms, ms)
+		{"upstream work first within a class", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "high", 200, time.Second)
+			tc.askWithUpstreamWork(ms, "upstream", 100, time.Second)
+			tc.done(2*ms, ms)
+			tc.done(3*ms, ms)
+		}, "a in, upstream in, high in"},
+		{"higher class before upstream work", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "higher", 300, time.Second)
+			tc.askWithUpstreamWork(ms, "upstream", 100, time.Second)
+			tc.done(2*ms, ms)
 		}, "a in, higher in"},
-		{"the committed waits as long as it has time", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.askCommitted(ms, "committed", 0, time.Second)
-			d.ask(ms, "b", 0, time.Second)
-			d.Expire(epoch.Add(900 * ms))
-			d.done(901*ms, ms)
-		}, "a in, b full, committed in"},
-		{"a withdrawn request is not started", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			d.ask(ms, "b", 0, time.Second)
-			if !d.Withdraw(d.tickets["b"]) {
-				d.verdicts = append(d.verdicts, "not withdrawn")
+		{"upstream work waits until its deadline", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.askWithUpstreamWork(ms, "upstream", 0, time.Second)
+			tc.ask(ms, "b", 0, time.Second)
+			tc.Expire(epoch.Add(900 * ms))
+			tc.done(901*ms, ms)
+		}, "a in, b full, upstream in"},
+		{"withdrawn request is not started", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			tc.ask(ms, "b", 0, time.Second)
+			if !tc.Withdraw(tc.tickets["b"]) {
+				tc.verdicts = append(tc.verdicts, "not withdrawn")
 			}
-			d.done(2*ms, ms)
+			tc.done(2*ms, ms)
 		}, "a in"},
-		{"what was started cannot be withdrawn", func(d *desk) {
-			d.ask(0, "a", 0, time.Second)
-			if d.Withdraw(d.tickets["a"]) {
-				d.verdicts = append(d.verdicts, "withdrawn")
+		{"started request cannot be withdrawn", func(tc *testController) {
+			tc.ask(0, "a", 0, time.Second)
+			if tc.Withdraw(tc.tickets["a"]) {
+				tc.verdicts = append(tc.verdicts, "withdrawn")
 			}
 		}, "a in"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d := newDesk(1)
-			c.play(d)
-			is.Equal(strings.Join(d.verdicts, ", "), c.want)
+			tc := newTestController(1)
+			c.run(tc)
+			is.Equal(strings.Join(tc.verdicts, ", "), c.want)
 		})
 	}
 }
 
-// TestLevelFollowsOverload offers twice what fits, half of it important.
+// TestLevelFollowsOverload offers twice the capacity, half of it in the highest class.
 func TestLevelFollowsOverload(t *testing.T) {
 	is := is.New(t)
-	d := newDesk(1)
+	tc := newTestController(1)
 	admitted := map[int]int{}
-	play := func(from, to int, overload bool) {
+	run := func(from, to int, overload bool) {
 		for i := from; i < to; i++ {
 			at := time.Duration(i) * 10 * ms
 			priorities := []int{800 + i%200}
@@ -160,41 +160,42 @@
 			}
 			for _, priority := range priorities {
 				now := epoch.Add(at)
-				d.Ask(now, Request{Priority: priority, Deadline: now.Add(time.Second)}, func(verdict Verdict) {
+				tc.Ask(now, Request{Priority: priority, Deadline: now.Add(time.Second)}, func(verdict Verdict) {
 					if verdict == Admitted {
 						admitted[ClassOf(priority)]++
 					}
 				})
 			}
-			d.done(at+9*ms, 9*ms)
+			tc.done(at+9*ms, 9*ms)
 		}
 	}
-	play(0, 300, true)
-	level := d.State(epoch.Add(3 * time.Second)).Level
+	run(0, 300, true)
+	level := tc.State(epoch.Add(3 * time.Second)).Level
 	t.Logf("level %d, admitted by class %v", level, admitted)
-	is.True(level > 0 && level <= 800)   // the important are above it
-	is.True(admitted[3] > 9*admitted[0]) // nearly only the important
-	play(300, 500, false)                // the overload ends
-	is.Equal(d.State(epoch.Add(6*time.Second)).Level, 0)
+	is.True(level > 0 && level <= 800)   // below the priorities of the highest class
+	is.True(admitted[3] > 9*admitted[0]) // nearly all of the highest class
+	run(300, 500, false)                 // without overload
+	is.Equal(tc.State(epoch.Add(6*time.Second)).Level, 0)
 }
 
-// backendModel answers in the time that a back end with slots would take.
-func backendModel(inFlight, slots int, work time.Duration) time.Duration {
+// ownTimeAt returns the own time of a back end with a number of slots. Requests beyond them
+// slow down all.
+func ownTimeAt(inFlight, slots int, work time.Duration) time.Duration {
 	if inFlight <= slots {
 		return work
 	}
 	return time.Duration(float64(work) * float64(inFlight) / float64(slots))
 }
 
-func TestLimitFollowsTheBackEnd(t *testing.T) {
+func TestLimitFollowsBackEnd(t *testing.T) {
 	const slots = 10
 	cases := []struct {
 		name      string
-		factor    func(second int) float64 // of the work
-		low, high int                      // limit in the end
+		factor    func(second int) float64 // multiplies the own time
+		low, high int                      // bounds of the final limit
 	}{
 		{"steady", func(int) float64 { return 1 }, slots, 3 * slots},
-		{"slower from the tenth second on", func(second int) float64 {
+		{"slow from the tenth second on", func(second int) float64 {
 			if second >= 10 {
 				return 5
 			}
@@ -211,12 +212,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			limit := NewLimit(epoch, 2, 200)
-			finished := 0.0 // requests, with the begun part of the next one
+			finished := 0.0 // requests, including the fraction done of the next one
 			for now := epoch; now.Sub(epoch) < 40*time.Second; now = now.Add(ms) {
 				work := time.Duration(float64(10*ms) * c.factor(int(now.Sub(epoch).Seconds())))
-				inFlight := limit.Current() // always as many as allowed
+				inFlight := limit.Current() // the limit is always used
 				limit.Started(inFlight)
-				taken := backendModel(inFlight, slots, work)
+				taken := ownTimeAt(inFlight, slots, work)
 				for finished += float64(inFlight) * float64(ms) / float64(taken); finished >= 1; finished-- {
 					limit.Finished(now, taken, false)
 				}
@@ -228,14 +229,14 @@
 	}
 }
 
-func TestPriorityKeepsClassesApart(t *testing.T) {
+func TestPriorityKeepsClassesSeparate(t *testing.T) {
 	is := is.New(t)
 	for i := range 1000 {
 		request := fmt.Sprint(i)
 		for class := range classes {
 			priority := Priority(class, request)
 			is.Equal(ClassOf(priority), class)
-			is.Equal(priority%prioritiesPerClass, Priority(0, request)%prioritiesPerClass) // the same at each hop
+			is.Equal(priority%prioritiesPerClass, Priority(0, request)%prioritiesPerClass) // the same offset in each class
 		}
 	}
 }
@@ -244,12 +245,12 @@
 	now := time.Unix(0, 0)
 	controller := NewController(now, Config{MinimumLimit: 1, MaximumLimit: 1, QueueTime: 50 * time.Millisecond})
 	deadline := now.Add(time.Second)
-	say := func(name string) func(Verdict) {
+	report := func(name string) func(Verdict) {
 		return func(verdict Verdict) { fmt.Println(name, verdict == Admitted) }
 	}
-	ticket := controller.Ask(now, Request{Priority: Priority(1, "first"), Deadline: deadline}, say("first"))
-	controller.Ask(now, Request{Priority: Priority(1, "second"), Deadline: deadline}, say("second"))
-	controller.Ask(now, Request{Priority: Priority(3, "payment"), Deadline: deadline}, say("payment"))
+	ticket := controller.Ask(now, Request{Priority: Priority(1, "first"), Deadline: deadline}, report("first"))
+	controller.Ask(now, Request{Priority: Priority(1, "second"), Deadline: deadline}, report("second"))
+	controller.Ask(now, Request{Priority: Priority(3, "payment"), Deadline: deadline}, report("payment"))
 	controller.Done(now.Add(time.Millisecond), ticket, Outcome{Own: time.Millisecond, Counted: true})
 	// Output:
 	// first true
@@ -264,9 +265,9 @@
 	}
 }
 
-// TestASmallLimitGrowsAgain: the limit is not a whole number, and what can be in
-// flight is; a limit of 2.59 counts as used when 2 are in flight.
-func TestASmallLimitGrowsAgain(t *testing.T) {
+// TestSmallLimitGrows guards against a fractional limit that never counts as used: with a
+// limit of 2.59, at most 2 requests are in flight.
+func TestSmallLimitGrows(t *testing.T) {
 	is := is.New(t)
 	limit := NewLimit(epoch, 2, 200)
 	limit.current = 2.59
@@ -277,15 +278,15 @@
 	is.True(limit.Current() > 5)
 }
 
-// TestUncommittedRequestsKeepAShare: a back end that is busy with committed requests
-// all the time still serves the others of their class.
-func TestUncommittedRequestsKeepAShare(t *testing.T) {
+// TestReservedShareIsServed guards against starvation of requests without upstream work
+// by a constant load of requests with it.
+func TestReservedShareIsServed(t *testing.T) {
 	is := is.New(t)
 	controller := NewController(epoch, Config{MinimumLimit: 10, MaximumLimit: 10, QueueTime: time.Second})
 	running := []*Ticket{}
 	served := map[bool]int{}
-	ask := func(now time.Time, committed bool) {
-		request := Request{Priority: 300, Deadline: now.Add(time.Second), Committed: committed}
+	ask := func(now time.Time, upstreamWork bool) {
+		request := Request{Priority: 300, Deadline: now.Add(time.Second), Committed: upstreamWork}
 		var ticket *Ticket
 		admitted := false
 		ticket = controller.Ask(now, request, func(verdict Verdict) {
@@ -304,10 +305,10 @@
 		ask(now, true)
 		ask(now, false)
 		if len(running) > 0 {
-			ended := running[0]
+			finished := running[0]
 			running = running[1:]
-			served[ended.Committed]++
-			controller.Done(now, ended, Outcome{Own: 10 * ms, Counted: true})
+			served[finished.Committed]++
+			controller.Done(now, finished, Outcome{Own: 10 * ms, Counted: true})
 		}
 	}
 	total := served[true] + served[false]
@@ -316,8 +317,8 @@
 	is.True(served[true] > total/2)
 }
 
-// TestAFewSlotsAreAllUsed: only a back end with seventeen or more spares one.
-func TestAFewSlotsAreAllUsed(t *testing.T) {
+// TestUsableSlots checks that a back end with few slots uses all of them.
+func TestUsableSlots(t *testing.T) {
 	is := is.New(t)
 	for slots, usable := range map[int]int{0: 0, 1: 1, 10: 10, 16: 16, 17: 16, 20: 19, 50: 47} {
 		is.Equal(UsableSlots(slots), usable)
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -6,28 +6,31 @@
 	"time"
 )
 
-// Verdict is the outcome of asking for admission.
+// Verdict is the result of an admission decision.
 type Verdict int
 
 // Verdicts.
 const (
 	Admitted Verdict = iota
+	// BelowLevel: the priority is below the admission level.
 	BelowLevel
+	// QueueFull: no slot became free in time, or the queue has no position left.
 	QueueFull
-	TooLate // it cannot finish before its deadline
+	// TooLate: the request cannot finish before its deadline.
+	TooLate
 )
 
 // Config configures a Controller.
 type Config struct {
 	// MinimumLimit and MaximumLimit bound the requests in flight. A minimum
 	// that is too low starves a slow back end, a maximum that is too high
-	// lets it queue inside. Defaults 2 and 200.
+	// lets requests queue inside the back end. Defaults 2 and 200.
 	MinimumLimit int
 	MaximumLimit int
 
-	// QueueTime is the longest time in the queue, unless the back end usually
-	// takes longer: then that time counts. Longer rides out bursts, shorter
-	// refuses sooner. 0 switches the queue off.
+	// QueueTime is the maximum time in the queue. A back end that usually takes
+	// longer than that raises it to its usual time. Longer rides out bursts, shorter
+	// refuses sooner. 0 disables the queue.
 	QueueTime time.Duration
 }
 
@@ -40,78 +43,80 @@
 	}
 }
 
-// Request is what a Controller needs to know of a request.
+// Request describes a request that asks for admission.
 type Request struct {
-	// Priority is that of the user request, 0 to MaximumPriority.
+	// Priority of the user request, 0 to MaximumPriority.
 	Priority int
-	// Deadline is when its answer must be complete, zero for never.
+	// Deadline is when the answer must be complete, zero for none.
 	Deadline time.Time
-	// Committed says that other services have worked for the user request
-	// already, and that this work is lost if the request is refused. It goes
-	// before requests of its class that are not, it is not refused by the level,
-	// and it may wait as long as its deadline allows.
+	// Committed reports that the request has upstream work: other services have
+	// already done work for the user request, which is wasted if this request is
+	// refused. It goes before requests of its class without upstream work, is not
+	// refused by the level, and may wait until its deadline.
 	Committed bool
-	// Patience is how long it may wait, if that is more than the usual time of the
-	// back end and Config.QueueTime. 0: it is not known.
+	// Patience is the request's own maximum queue time, 0 if unknown. It has an effect
+	// only when it exceeds Config.QueueTime and the usual time of the back end.
 	Patience time.Duration
 }
 
-// Ticket is a request that was admitted or waits.
+// Ticket identifies a request that asked for admission.
 type Ticket struct {
 	Request
-	asked    time.Time
-	expires  time.Time // end of its time in the queue
+	arrivedAt time.Time
+	// End of the maximum queue time.
+	expires time.Time
+	// Order of entry into the queue.
 	sequence uint64
-	position int // in the queue, or notQueued
-	decided  func(Verdict)
+	// Index in the queue, or notQueued.
+	position int
+	notify   func(Verdict)
 }
 
-// Controller admits requests to one back end. It joins the limit, the queue, the level,
-// the share of the uncommitted and the patience of requests, each of which decides by
-// itself.
+// Controller admits requests to one back end. It combines the limit, the queue, the
+// level, the reserved share and the maximum queue times.
 type Controller struct {
-	mutex    sync.Mutex
-	limit    *Limit
-	level    *levelControl
-	inFlight inFlight
-	patience patience
-	queue    ticketQueue
-	sequence uint64 // of the latest request that was queued
+	mutex      sync.Mutex
+	limit      *Limit
+	level      *levelControl
+	inFlight   inFlight
+	queueTimes queueTimes
+	queue      ticketQueue
+	// Sequence number of the last request that was queued.
+	sequence uint64
 }
 
-// NewController returns a Controller.
+// NewController returns a Controller without requests.
 func NewController(now time.Time, config Config) *Controller {
 	config.setDefaults()
 	return &Controller{
-		limit:    NewLimit(now, config.MinimumLimit, config.MaximumLimit),
-		level:    newLevelControl(now),
-		patience: patience{queueTime: config.QueueTime},
+		limit:      NewLimit(now, config.MinimumLimit, config.MaximumLimit),
+		level:      newLevelControl(now),
+		queueTimes: queueTimes{queueTime: config.QueueTime},
 	}
 }
 
-// SetBounds changes the bounds of the limit and the time in the queue.
+// SetBounds changes the bounds of the limit and the maximum time in the queue.
 func (c *Controller) SetBounds(minimum, maximum int, queueTime time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.patience.queueTime = queueTime
+	c.queueTimes.queueTime = queueTime
 	c.limit.SetBounds(minimum, maximum)
 }
 
-// Ask asks for admission. decided is called once with the verdict, either
-// before Ask returns or later from Done or Expire; it must not block and must
-// not call the Controller. The returned Ticket is passed to Withdraw by a
-// caller that stops waiting.
-func (c *Controller) Ask(now time.Time, request Request, decided func(Verdict)) *Ticket {
+// Ask requests admission. notify is called at most once with the verdict, either before
+// Ask returns or later from Ask, Done or Expire. It must not block and must not call the
+// Controller. A caller that stops waiting passes the returned Ticket to Withdraw.
+func (c *Controller) Ask(now time.Time, request Request, notify func(Verdict)) *Ticket {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.level.adjust(now, c.room())
-	ticket := &Ticket{Request: request, asked: now, position: notQueued, decided: decided}
+	c.level.adjust(now, c.freeShare())
+	ticket := &Ticket{Request: request, arrivedAt: now, position: notQueued, notify: notify}
 	c.level.arrived(request.Priority)
-	if verdict := c.screen(now, ticket); verdict != Admitted {
-		decided(verdict)
+	if verdict := c.checkOnArrival(now, ticket); verdict != Admitted {
+		notify(verdict)
 		return ticket
 	}
-	if c.inFlight.all < c.limit.Current() && c.queue.Len() == 0 {
+	if c.inFlight.total < c.limit.Current() && c.queue.Len() == 0 {
 		c.start(now, ticket)
 		return ticket
 	}
@@ -119,50 +124,52 @@
 	return ticket
 }
 
-// screen refuses what need not queue.
-func (c *Controller) screen(now time.Time, ticket *Ticket) Verdict {
-	if !ticket.Committed && c.level.refuses(ticket.Priority) && !c.uncommittedRoom() {
+// checkOnArrival returns the verdict on a request that is refused without queueing, and
+// Admitted for all others.
+func (c *Controller) checkOnArrival(now time.Time, ticket *Ticket) Verdict {
+	if !ticket.Committed && c.level.refuses(ticket.Priority) && !c.reservedSlotFree() {
 		c.level.refused++
 		return BelowLevel
 	}
-	if c.patience.tooLate(now, &ticket.Request) {
+	if c.queueTimes.tooLate(now, &ticket.Request) {
 		return TooLate
 	}
 	return Admitted
 }
 
-func (c *Controller) uncommittedRoom() bool {
-	return c.inFlight.hasUncommittedShare(c.limit.Current())
+func (c *Controller) reservedSlotFree() bool {
+	return c.inFlight.hasReservedSlot(c.limit.Current())
 }
 
-// room is the share of the limit that is free.
-func (c *Controller) room() float64 {
+// freeShare returns the free share of the limit, 0 to 1. Queued requests count as in
+// flight.
+func (c *Controller) freeShare() float64 {
 	limit := float64(c.limit.Current())
-	return max(0, (limit-float64(c.inFlight.all+c.queue.Len()))/limit)
+	return max(0, (limit-float64(c.inFlight.total+c.queue.Len()))/limit)
 }
 
-// start admits a request. The mutex is held.
+// start admits a request. The caller holds the mutex.
 func (c *Controller) start(now time.Time, ticket *Ticket) {
 	c.inFlight.start(&ticket.Request)
-	c.limit.Started(c.inFlight.all)
+	c.limit.Started(c.inFlight.total)
 	c.level.started()
-	if now.Sub(ticket.asked) > c.patience.delayTarget() {
+	if now.Sub(ticket.arrivedAt) > c.queueTimes.delayTarget() {
 		c.level.delayed++
 	}
-	ticket.decided(Admitted)
+	ticket.notify(Admitted)
 }
 
-// enqueue lets a request wait, and refuses the least important one when the
-// queue is full.
+// enqueue adds a request to the queue. When the queue is too long, it refuses the
+// request that victim selects.
 func (c *Controller) enqueue(now time.Time, ticket *Ticket) {
-	if c.patience.queueTime <= 0 {
+	if c.queueTimes.queueTime <= 0 {
 		c.level.refused++
-		ticket.decided(QueueFull)
+		ticket.notify(QueueFull)
 		return
 	}
 	c.sequence++
 	ticket.sequence = c.sequence
-	ticket.expires = c.patience.expiry(now, &ticket.Request)
+	ticket.expires = c.queueTimes.expiry(now, &ticket.Request)
 	heap.Push(&c.queue, ticket)
 	c.dropExpired(now)
 	if limit := c.queueLimit(); c.queue.Len() > limit {
@@ -170,14 +177,14 @@
 	}
 }
 
-// queueLimit bounds the queue by the number in flight: more cannot be served
-// within a few service times.
+// queueLimit returns the maximum length of the queue. It is tied to the limit, so that
+// the queue drains within a few service times.
 func (c *Controller) queueLimit() int { return 2*c.limit.Current() + 1 }
 
 func (c *Controller) drop(ticket *Ticket, verdict Verdict) {
 	heap.Remove(&c.queue, ticket.position)
 	c.level.refused++
-	ticket.decided(verdict)
+	ticket.notify(verdict)
 }
 
 func (c *Controller) dropExpired(now time.Time) {
@@ -186,14 +193,14 @@
 		switch {
 		case !now.Before(ticket.expires):
 			c.drop(ticket, QueueFull)
-		case c.patience.tooLate(now, &ticket.Request):
+		case c.queueTimes.tooLate(now, &ticket.Request):
 			c.drop(ticket, TooLate)
 		}
 	}
 }
 
-// Withdraw takes back a request whose caller stopped waiting. It reports true
-// when the request was still queued; decided is then never called.
+// Withdraw removes a request from the queue when its caller stops waiting. It reports
+// whether the request was still queued; if so, notify is never called.
 func (c *Controller) Withdraw(ticket *Ticket) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -204,18 +211,18 @@
 	return true
 }
 
-// Outcome is how an admitted request ended.
+// Outcome describes how an admitted request ended.
 type Outcome struct {
-	// Own is the time that the back end itself took.
+	// Own is the back end's own time, without the time spent waiting for its calls to
+	// other services.
 	Own time.Duration
-	// Refused says that the back end refused the request as overloaded.
+	// Refused reports that the back end refused the request as overloaded.
 	Refused bool
-	// Counted is false when the time says nothing, for example after a broken
-	// connection.
+	// Counted is false when Own is meaningless, for example after a broken connection.
 	Counted bool
 }
 
-// Done ends a request that was admitted.
+// Done frees the slot of an admitted request and starts queued requests.
 func (c *Controller) Done(now time.Time, ticket *Ticket, outcome Outcome) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -224,43 +231,46 @@
 		c.limit.Finished(now, outcome.Own, outcome.Refused)
 	}
 	if outcome.Counted && !outcome.Refused {
-		c.patience.learn(outcome.Own)
+		c.queueTimes.observe(outcome.Own)
 	}
 	c.dispatch(now)
-	c.level.adjust(now, c.room())
+	c.level.adjust(now, c.freeShare())
 }
 
-// dispatch starts queued requests while there is room.
+// dispatch starts queued requests while slots are free.
 func (c *Controller) dispatch(now time.Time) {
 	c.dropExpired(now)
-	for c.inFlight.all < c.limit.Current() && c.queue.Len() > 0 {
-		next := c.queue.next(c.uncommittedRoom())
+	for c.inFlight.total < c.limit.Current() && c.queue.Len() > 0 {
+		next := c.queue.next(c.reservedSlotFree())
 		heap.Remove(&c.queue, next.position)
 		c.start(now, next)
 	}
 }
 
-// Expire refuses queued requests whose time has passed. Call it every few
-// milliseconds while Waiting is not 0.
+// Expire refuses queued requests that have waited too long or can no longer meet their
+// deadline. Call it every few milliseconds while State.Waiting is not 0.
 func (c *Controller) Expire(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.dropExpired(now)
-	c.level.adjust(now, c.room())
+	c.level.adjust(now, c.freeShare())
 }
 
 // State is a snapshot of a Controller.
 type State struct {
-	Limit    int // of requests in flight
+	// Limit on requests in flight.
+	Limit    int
 	InFlight int
-	Waiting  int
-	Level    int // priorities below it are refused
+	// Waiting is the number of queued requests.
+	Waiting int
+	// Level is the priority below which requests are refused.
+	Level int
 }
 
 // State returns a snapshot.
 func (c *Controller) State(now time.Time) State {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.level.adjust(now, c.room())
-	return State{Limit: c.limit.Current(), InFlight: c.inFlight.all, Waiting: c.queue.Len(), Level: c.level.current}
+	c.level.adjust(now, c.freeShare())
+	return State{Limit: c.limit.Current(), InFlight: c.inFlight.total, Waiting: c.queue.Len(), Level: c.level.current}
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,32 +1,36 @@
-// Package admission decides which requests are served when more arrive than can be.
+// Package admission decides which requests are served when more arrive than can be
+// served.
 //
-// Each request has a priority from 0 to MaximumPriority: its class, then a hash
-// of the user request's identity (Priority). All processes compute the same
-// priority for the same user request, so that they keep and drop the same
-// ones; work for a request is not wasted by dropping it at the next hop.
+// Each request has a priority from 0 to MaximumPriority, derived from its class and a
+// hash that identifies the user request (Priority). All processes compute the same
+// priority for the same user request. They therefore tend to keep and refuse the same
+// ones, and work is rarely wasted on a request that the next hop refuses.
 //
-// Controller decides beside a back end, for plug-in admission. It joins these parts, a
-// file each:
+// Controller decides for one back end (plug-in admission). It combines:
 //
-//   - limit.go: an adaptive limit of requests in flight. It follows the time that
-//     the back end itself takes, without the time that it waits for calls of
-//     its own, so that a slow service further down does not shrink the limits
-//     above it.
-//   - queue.go: a short queue. When a slot is free, the request of the highest class is
-//     served, within it committed ones, the highest priority and the newest first.
-//   - patience.go: how long a request may wait, and when it is too late for it.
-//   - uncommitted.go: the share that requests keep for which no service has worked yet.
-//   - level.go: a level. Requests below it are refused without queueing. It rises so
-//     far that what is still admitted fits, and falls when there is room.
+//   - limit.go: an adaptive limit on requests in flight. It follows the back end's own
+//     time, which excludes the time spent waiting for calls to other services, so that a
+//     slow service downstream does not shrink the limits of its callers.
+//   - queue.go: a short queue. A free slot goes to the request of the highest class;
+//     within a class, requests with upstream work go first, then the highest priority,
+//     then the newest.
+//   - patience.go: how long a request may wait, and when it is too late to serve it.
+//   - uncommitted.go: the share of the slots that is reserved for requests without upstream
+//     work.
+//   - level.go: the admission level. Requests of a lower priority are refused without
+//     queueing. The level rises until the remaining requests fit, and falls when slots
+//     are free.
 //
-// The level travels back with each answer; processes nearer to the caller
-// refuse what would be refused further down (see package balance). Levels that
-// travel upstream follow DAGOR (Zhou et al., SoCC 2018).
+// Each answer carries the level, so that upstream processes can refuse a request that
+// would be refused downstream (package balance). Propagating levels upstream follows
+// DAGOR (Zhou et al., SoCC 2018).
 //
-// Gate decides where requests of callers outside the mesh enter, for plug-in shed: which
-// share of a route is admitted (gate.go), by the pressure that its requests met
-// (pressure.go), and who goes first (rank.go).
+// Gate decides for requests that enter the mesh from outside (plug-in shed). It sets the
+// share of a route's requests that is admitted (gate.go) from the pressure that earlier
+// requests of the route met (pressure.go). The order among requests is their rank
+// (rank.go).
 //
-// The package owns these rules and their constants, and relies on nothing of the mesh. All
-// types take the time as an argument and do no I/O. Controller is safe for concurrent use.
+// The package owns these rules and their constants, and depends on no other part of the
+// mesh. All types take the time as an argument and do no I/O. Controller is safe for
+// concurrent use.
 package admission
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// Gate admits a share of the user requests of one kind where they enter, so that
-// what is admitted can be served along its whole call graph. It learns from the
-// pressure that admitted requests met further down: how long they waited for
-// slots, as a multiple of what they should wait. Pressure above 1 lowers the
-// share by a factor, pressure below 1 raises it by steps.
+// Gate admits a share of the user requests of one route where they enter the mesh, so
+// that the admitted ones can be served along their whole call graph. The share follows
+// the pressure that admitted requests met downstream: their time in queues as a multiple
+// of the queue time of the policy. Pressure above 1 lowers the share by a factor,
+// pressure below 1 raises it in steps.
 //
-// A share that moves slowly costs less than a level that follows at once: what
-// was admitted a moment ago is still on its way down when its effect is seen.
+// The share moves slowly because its effect is delayed: requests that were admitted a
+// moment ago are still on their way downstream.
 //
-// Where it is reached: in the process at which a request of a caller outside the mesh
-// enters, where the policy has a route table, one gate a route (plug-in shed). Without a
-// route table, callers' processes refuse by level instead (levelControl, plug-in routing).
-// Levels beside the back ends go on in both cases.
+// The process that a request enters at uses one gate per route when the policy has a
+// route table (plug-in shed). Without a route table, the callers' processes refuse by
+// level instead (levelControl, plug-in routing). The levels of the back ends apply in
+// both cases.
 //
-// It is not safe for concurrent use.
+// Gate is not safe for concurrent use.
 type Gate struct {
-	share        float64   // that is admitted
-	windowEnd    time.Time // of the window that samples are gathered in
-	sum          float64   // of the pressure of its samples
-	samples      int
-	lastPressure float64 // of the last window with samples
+	// Admitted share of requests.
+	share float64
+	// End of the current window.
+	windowEnd time.Time
+	// Sum and number of the pressure samples of the current window.
+	sum     float64
+	samples int
+	// Mean pressure of the last window with samples.
+	lastPressure float64
 }
 
-// Constants of the gate. They are steps by windows of gateWindow; estimates, except
-// where a comment gives a figure.
 const (
 	// gateWindow is the time between two adjustments. Longer is steadier, shorter
 	// follows demand sooner.
 	gateWindow = 100 * time.Millisecond
-	// leastShare is admitted whatever the pressure, so that its fall can be seen.
-	leastShare = 0.05
-	// raiseStep is what the share rises by in a window without any pressure.
+	// minimumShare is admitted at any pressure, so that falling pressure is noticed.
+	minimumShare = 0.05
+	// raiseStep is the increase of the share per window at pressure 0. It shrinks to 0 at
+	// pressure 1.
 	raiseStep = 0.02
-	// quietPressure is the pressure below which nothing waits to speak of, so that the
-	// share may rise by quietStep in place of raiseStep: what a gate refuses after
-	// overload has ended is lost for nothing.
-	quietPressure = 0.25
-	// 0.06 was tried: more requests failed.
-	quietStep = 0.03
-	// lowerStep is what the share falls by, as a part of it, for each 1 that the
-	// pressure is above 1, and mostLowered the most in a window.
-	lowerStep   = 0.01
-	mostLowered = 0.06
-	// fallingShare of the pressure of the window before counts as falling: a
-	// queue that is being worked off needs no lower share.
-	fallingShare = 0.97
-	// mostWindows bounds the windows that one sample stands for. A gate that sees a
-	// request a second moves as far in that second as one that sees hundreds.
-	mostWindows = 10
-	// probeAfterWindows is the number of windows without any sample after which the
-	// share rises all the same: what is refused shows nothing.
+	// lowPressure is the pressure up to which hardly any request waits. fastRaiseStep
+	// replaces raiseStep then, so that few requests are refused needlessly after overload.
+	lowPressure   = 0.25
+	fastRaiseStep = 0.03
+	// lowerStep is the relative decrease of the share per window for each unit of pressure
+	// above 1, at most maximumDecrease.
+	lowerStep       = 0.01
+	maximumDecrease = 0.06
+	// fallingRatio is the ratio to the previous window's pressure up to which pressure
+	// counts as falling. The share is then not lowered, because the queues already drain.
+	fallingRatio = 0.97
+	// maximumWindows bounds the windows for which one sample counts. It lets a gate with
+	// one request per second move about as far per second as a busy one.
+	maximumWindows = 10
+	// probeAfterWindows is the number of windows without samples after which the share
+	// rises regardless: a gate that refuses everything gets no samples.
 	probeAfterWindows = 10
 )
 
@@ -64,19 +65,18 @@
 	return &Gate{share: 1, windowEnd: now.Add(gateWindow)}
 }
 
-// Share returns the share that is admitted, 0 to 1.
+// Share returns the admitted share, 0 to 1.
 func (g *Gate) Share() float64 { return g.share }
 
-// Reopens returns the time after which the gate admits everything again if the pressure
-// ends now: the earliest at which a refused request surely finds room. It is a window at
-// least, since nothing changes before.
+// Reopens returns how long the gate takes to admit everything again if the pressure ends
+// now, at least one window. A request that is refused now is admitted after that time.
 func (g *Gate) Reopens() time.Duration {
-	windows := max(math.Ceil((1-g.share)/quietStep), 1)
+	windows := max(math.Ceil((1-g.share)/fastRaiseStep), 1)
 	return time.Duration(windows) * gateWindow
 }
 
-// Admit reports whether a request of a rank is admitted. Ranks are spread evenly
-// from 0 up to 1; the lower ones are admitted first.
+// Admit reports whether a request of the given rank (Rank) is admitted. Ranks lie in
+// [0, 1); lower ones are admitted first.
 func (g *Gate) Admit(now time.Time, rank float64) bool {
 	g.adjust(now)
 	return rank < g.share
@@ -89,42 +89,42 @@
 	g.samples++
 }
 
-// adjust closes the window when its time is over. One without samples goes on until
-// there is one: no evidence of pressure is no evidence of room.
+// adjust closes the window when its time is over. A window without samples stays open,
+// because missing samples do not prove that there is capacity.
 func (g *Gate) adjust(now time.Time) {
 	if now.Before(g.windowEnd) {
 		return
 	}
 	windows := 1 + int(now.Sub(g.windowEnd)/gateWindow)
 	if g.samples == 0 {
-		g.tryOpening(windows - probeAfterWindows)
+		g.raiseWithoutSamples(windows - probeAfterWindows)
 		return
 	}
 	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * gateWindow)
 	pressure := g.sum / float64(g.samples)
 	g.sum, g.samples = 0, 0
-	counted := float64(min(windows, mostWindows))
+	counted := float64(min(windows, maximumWindows))
 	switch {
-	case pressure <= quietPressure:
-		g.share += quietStep * (1 - pressure) * counted
+	case pressure <= lowPressure:
+		g.share += fastRaiseStep * (1 - pressure) * counted
 	case pressure <= 1:
 		g.share += raiseStep * (1 - pressure) * counted
-	case pressure > g.lastPressure*fallingShare:
-		g.share *= math.Pow(1-min(lowerStep*(pressure-1), mostLowered), counted)
+	case pressure > g.lastPressure*fallingRatio:
+		g.share *= math.Pow(1-min(lowerStep*(pressure-1), maximumDecrease), counted)
 	}
 	g.lastPressure = pressure
-	g.bound()
+	g.clampShare()
 }
 
-// tryOpening raises the share by the windows beyond those that a gate waits for a
-// sample, and counts them as closed.
-func (g *Gate) tryOpening(windows int) {
+// raiseWithoutSamples raises the share for a number of windows without samples and moves
+// the end of the window by as many.
+func (g *Gate) raiseWithoutSamples(windows int) {
 	if windows <= 0 {
 		return
 	}
 	g.windowEnd = g.windowEnd.Add(time.Duration(windows) * gateWindow)
 	g.share += raiseStep * float64(windows)
-	g.bound()
+	g.clampShare()
 }
 
-func (g *Gate) bound() { g.share = min(max(g.share, leastShare), 1) }
+func (g *Gate) clampShare() { g.share = min(max(g.share, minimumShare), 1) }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// playGate offers requests at a rate to a service that serves capacity of them
-// a second and queues the rest. The pressure is seen a while later.
-func playGate(gate *Gate, seconds int, rate, capacity float64) (served, admitted float64) {
+// runGate offers rate requests per second to a service that serves capacity requests per
+// second and queues the rest. The gate gets the pressure with a delay.
+func runGate(gate *Gate, seconds int, rate, capacity float64) (served, admitted float64) {
 	const (
 		step  = 10 * time.Millisecond
-		delay = 50 // steps until the pressure is seen
+		delay = 50 // steps until the gate gets the pressure
 	)
 	queue, offered := 0.0, 0.0
 	waits := []float64{}
@@ -28,7 +28,7 @@
 		done := min(queue, capacity/100)
 		served += done
 		queue -= done
-		waits = append(waits, queue/capacity/0.05) // multiples of 50ms
+		waits = append(waits, queue/capacity/0.05) // in multiples of a queue time of 50ms
 		if i >= delay {
 			gate.Done(now, waits[i-delay])
 		}
@@ -38,29 +38,29 @@
 
 func TestGateAdmitsWhatCanBeServed(t *testing.T) {
 	cases := []struct {
-		name      string
-		rate      float64
-		least     float64 // served as a share of what could be
-		mostShare float64 // in the end
+		name          string
+		rate          float64
+		minimumServed float64 // as a share of the smaller of rate and capacity
+		maximumShare  float64 // at the end
 	}{
-		{"less than fits", 80, 0.99, 1},
-		{"half as much again", 150, 0.9, 0.9},
-		{"three times as much", 300, 0.9, 0.5},
-		{"ten times as much", 1000, 0.9, 0.2},
+		{"below capacity", 80, 0.99, 1},
+		{"1.5 times the capacity", 150, 0.9, 0.9},
+		{"3 times the capacity", 300, 0.9, 0.5},
+		{"10 times the capacity", 1000, 0.9, 0.2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			gate := NewGate(epoch)
-			served, admitted := playGate(gate, 60, c.rate, 100)
+			served, admitted := runGate(gate, 60, c.rate, 100)
 			t.Logf("served %.0f, admitted %.0f, share %.2f", served, admitted, gate.Share())
-			is.True(served >= c.least*60*min(c.rate, 100))
-			is.True(gate.Share() <= c.mostShare)
+			is.True(served >= c.minimumServed*60*min(c.rate, 100))
+			is.True(gate.Share() <= c.maximumShare)
 		})
 	}
 }
 
-func TestGateOpensWhenThePressureEnds(t *testing.T) {
+func TestGateReopensAfterPressure(t *testing.T) {
 	is := is.New(t)
 	gate := NewGate(epoch)
 	for i := range 400 {
@@ -74,10 +74,10 @@
 	is.Equal(gate.Share(), 1.0)
 }
 
-// TestAGateThatSeesLittleMovesAsFar: at a request a second most windows have no sample.
-// They are no evidence of room, or the gate would be open under any pressure.
-func TestAGateThatSeesLittleMovesAsFar(t *testing.T) {
-	for name, every := range map[string]time.Duration{"busy": 10 * ms, "some": 200 * ms, "rare": 900 * ms} {
+// TestGateMovesAlikeWithFewSamples guards against a gate that opens under pressure because
+// windows without samples count as free of pressure.
+func TestGateMovesAlikeWithFewSamples(t *testing.T) {
+	for name, every := range map[string]time.Duration{"many": 10 * ms, "some": 200 * ms, "few": 900 * ms} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			gate := NewGate(epoch)
@@ -96,8 +96,9 @@
 	}
 }
 
-// TestAGateTellsWhenItReopens: after that time without pressure it admits everything.
-func TestAGateTellsWhenItReopens(t *testing.T) {
+// TestGateReopens checks that the gate admits everything after the time that Reopens
+// returns, without pressure.
+func TestGateReopens(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	gate := NewGate(now)
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -7,68 +7,86 @@
 
 // Limit adapts the number of requests in flight to one back end.
 //
-// It compares the back end's own time in each window with the time at low load.
-// While both are alike and the limit was reached, it grows. When the time has
-// grown by more than the tolerance, requests queue inside the back end, or the
-// back end became slower for another reason than load. A probe tells: the limit
-// is lowered for two windows. If the time follows, requests were queueing, and
-// the lower limit stays. If it does not, the slower time becomes the new time
-// at low load, and the limit is put back.
+// In each window, it compares the mean of the back end's own time with the baseline, the
+// own time at low load. While the two are close and the limit is used, it grows. A mean
+// far above the baseline has one of two causes: requests queue inside the back end, or
+// the back end became slower at any load. A probe distinguishes them by lowering the limit
+// for two windows. If the time falls with it, requests were queueing, and the lower limit
+// stays. If not, the slower time becomes the baseline and the limit is restored.
 //
 // Limit is not safe for concurrent use.
 type Limit struct {
 	minimum, maximum float64
 	current          float64
-	baseline         float64 // seconds at low load, 0 while unknown
-	windowEnd        time.Time
-	sum              float64
-	count            int
-	peak             int     // most requests in flight in this window
-	congested        int     // windows in a row above the tolerance
-	congestedSum     float64 // of the mean times of these windows
-	saturated        int     // windows in a row in which the limit was used
-	probe            probe
+	// Own time at low load in seconds, 0 while unknown.
+	baseline  float64
+	windowEnd time.Time
+	// Sum in seconds and number of the own times in the current window.
+	sum   float64
+	count int
+	// Maximum number of requests in flight in the current window.
+	peak int
+	// Consecutive windows above the tolerance, and the sum of their mean times.
+	congested    int
+	congestedSum float64
+	// Consecutive windows in which the limit was used.
+	saturated int
+	probe     probe
 }
 
-// probe is a window with a lowered limit.
+// probe is a test of a lower limit over two windows.
 type probe struct {
 	active bool
-	before float64 // mean time before the probe
-	limit  float64 // limit before the probe
-	skip   bool    // the first window still sees older requests
+	// Mean time and limit before the probe.
+	before float64
+	limit  float64
+	// The current window is the first one, which still has requests from before.
+	skip bool
 }
 
-// Constants of the limit. docs/design/overload.md has the runs in virtual time that some
-// come from (probes at 0.7 in place of 0.5 of the limit: 0.96 in place of 0.90 of the
-// requests that could complete did); the others are estimates.
 const (
-	windowTime    = 100 * time.Millisecond // of a window, at least
-	windowSamples = 16                     // fewer samples make the window longer
-	probeSamples  = 40                     // the same for the window of a probe
-	tolerance     = 1.5                    // growth of the time that counts as queueing
-	comfortable   = 1.2                    // growth of the time up to which the limit may grow
-	initialLimit  = 20.0                   // until something is known
-	refusedShare  = 0.9                    // of the limit that is left when the back end refuses as overloaded
-	reachedShare  = 0.8                    // of the limit that must be used for it to grow
-	probeAfter    = 2                      // congested windows before a probe
-	probeEvery    = 30                     // windows with a used limit before a probe
-	probeShare    = 0.7                    // of the limit during a probe
-	probeFollows  = 0.85                   // the time follows when it falls below this share
-	baselineFall  = 0.1                    // share by which the baseline follows a lower time
-	baselineDrop  = 0.5                    // the same when the time is far lower
-	baselineRise  = 0.05                   // share by which it follows a higher one
-	longestWindow = 5 * time.Second        // however slow the back end is
+	// minimumWindow is the minimum length of a window.
+	minimumWindow = 100 * time.Millisecond
+	// windowSamples is the minimum number of samples of a window, and probeSamples that of
+	// the second window of a probe.
+	windowSamples = 16
+	probeSamples  = 40
+	// congestionTolerance is the ratio of the mean to the baseline above which a window
+	// counts as congested, and growthTolerance the one below which the limit may grow.
+	congestionTolerance = 1.5
+	growthTolerance     = 1.2
+	// initialLimit holds until the first window with enough samples.
+	initialLimit = 20.0
+	// refusalFactor multiplies the limit when the back end refuses as overloaded.
+	refusalFactor = 0.9
+	// reachedShare is the share of the limit from which on it counts as used.
+	reachedShare = 0.8
+	// probeAfter is the number of consecutive congested windows before a probe, and
+	// probeEvery the number of consecutive windows with a used limit.
+	probeAfter = 2
+	probeEvery = 30
+	// probeShare multiplies the limit during a probe.
+	probeShare = 0.7
+	// probeFollowRatio is the ratio to the mean before a probe up to which the time counts
+	// as having fallen with the limit.
+	probeFollowRatio = 0.85
+	// Weights of a window's mean in the baseline: a lower one, a far lower one, and a
+	// higher one.
+	baselineFall = 0.1
+	baselineDrop = 0.5
+	baselineRise = 0.05
+	// maximumWindow bounds the length of a window of a slow back end.
+	maximumWindow = 5 * time.Second
 )
 
-// NewLimit returns a Limit between minimum and maximum.
+// NewLimit returns a Limit that stays between minimum and maximum.
 func NewLimit(now time.Time, minimum, maximum int) *Limit {
-	l := &Limit{windowEnd: now.Add(windowTime)}
+	l := &Limit{windowEnd: now.Add(minimumWindow)}
 	l.SetBounds(minimum, maximum)
 	l.current = min(max(initialLimit, l.minimum), l.maximum)
 	return l
 }
 
-// SetBounds changes the bounds.
 func (l *Limit) SetBounds(minimum, maximum int) {
 	l.minimum, l.maximum = float64(minimum), float64(maximum)
 	l.current = min(max(l.current, l.minimum), l.maximum)
@@ -77,14 +95,14 @@
 // Current returns the limit, at least 1.
 func (l *Limit) Current() int { return max(int(l.current), 1) }
 
-// Started records the number of requests in flight after one was started.
+// Started records the number of requests in flight after a request was started.
 func (l *Limit) Started(inFlight int) { l.peak = max(l.peak, inFlight) }
 
-// Finished records the back end's own time for a request that ended, and
-// whether the back end refused it because it is overloaded.
+// Finished records the own time of a request that ended, and whether the back end refused
+// it as overloaded. A refusal lowers the limit at once.
 func (l *Limit) Finished(now time.Time, own time.Duration, refused bool) {
 	if refused {
-		l.current = max(l.minimum, l.current*refusedShare)
+		l.current = max(l.minimum, l.current*refusalFactor)
 		return
 	}
 	l.sum += own.Seconds()
@@ -95,8 +113,8 @@
 	l.closeWindow(now)
 }
 
-// samplesNeeded is larger for the window of a probe that is compared: a wrong
-// conclusion costs more than a longer probe.
+// samplesNeeded returns the minimum number of samples of the current window. It is higher
+// for the second window of a probe, because a wrong result costs more than a longer probe.
 func (l *Limit) samplesNeeded() int {
 	if l.probe.active && !l.probe.skip {
 		return probeSamples
@@ -104,7 +122,7 @@
 	return windowSamples
 }
 
-// closeWindow adapts the limit to the window that ends now.
+// closeWindow adapts the limit by the window that ends now and opens the next one.
 func (l *Limit) closeWindow(now time.Time) {
 	mean := l.sum / float64(l.count)
 	reached := float64(l.peak) >= float64(l.Current())*reachedShare
@@ -113,27 +131,27 @@
 		l.closeProbe(mean)
 		return
 	}
-	l.learnBaseline(mean, reached)
+	l.updateBaseline(mean, reached)
 	l.countWindow(mean, reached)
 	l.adapt(mean, reached)
 }
 
-// openWindow begins a window of at least two usual times, so that it sees requests that
-// were started under the limit of now.
+// openWindow begins a window that lasts at least two mean times, so that it includes
+// requests started under the current limit.
 func (l *Limit) openWindow(now time.Time, mean float64) {
 	l.sum, l.count, l.peak = 0, 0, 0
 	length := time.Duration(2 * mean * float64(time.Second))
-	l.windowEnd = now.Add(min(max(windowTime, length), longestWindow))
+	l.windowEnd = now.Add(min(max(minimumWindow, length), maximumWindow))
 }
 
-// countWindow counts the windows in a row in which the limit was used, and those in which
-// the time was above the tolerance.
+// countWindow counts consecutive windows in which the limit was used, and consecutive
+// congested ones.
 func (l *Limit) countWindow(mean float64, reached bool) {
 	l.saturated++
 	if !reached {
 		l.saturated = 0
 	}
-	if mean > tolerance*l.baseline {
+	if mean > congestionTolerance*l.baseline {
 		l.congested++
 		l.congestedSum += mean
 	} else {
@@ -141,28 +159,28 @@
 	}
 }
 
-// adapt begins a probe when one is due, and lets the limit grow while it is used and the
-// time is near that at low load.
+// adapt begins a probe when one is due, and otherwise grows the limit while it is used and
+// the time is near the baseline.
 func (l *Limit) adapt(mean float64, reached bool) {
 	switch {
 	case l.congested >= probeAfter:
 		l.beginProbe(l.congestedSum / float64(l.congested))
 	case l.saturated >= probeEvery:
 		l.beginProbe(mean)
-	case reached && mean < comfortable*l.baseline:
+	case reached && mean < growthTolerance*l.baseline:
 		l.current = min(l.maximum, l.current+math.Sqrt(l.current))
 	}
 }
 
-// learnBaseline follows a time that falls, part of the way in each window: the
-// mean of a few requests may be low by chance. A time that rises is followed
-// slowly, and only while the limit is not used, since otherwise it may be
-// queueing.
-func (l *Limit) learnBaseline(mean float64, reached bool) {
+// updateBaseline moves the baseline towards the mean of a window. A lower mean moves it
+// only in part, because the mean of a few requests may be low by chance. A higher mean
+// moves it slowly, and only while the limit is not used, since it may be due to queueing
+// otherwise.
+func (l *Limit) updateBaseline(mean float64, reached bool) {
 	switch {
 	case l.baseline == 0:
 		l.baseline = mean
-	case mean*tolerance < l.baseline: // too low for chance
+	case mean*congestionTolerance < l.baseline: // too low to be chance
 		l.baseline += baselineDrop * (mean - l.baseline)
 	case mean < l.baseline:
 		l.baseline += baselineFall * (mean - l.baseline)
@@ -171,18 +189,18 @@
 	}
 }
 
-// beginProbe lowers the limit to see whether the time follows. That happens
-// when the time has been high for some windows, and now and then while the
-// limit is used all the time, so that a wrong baseline does not last.
+// beginProbe lowers the limit to test whether the time falls with it. mean is the time to
+// compare with. Probes run after congested windows, and regularly while the limit is used
+// all the time, to correct a wrong baseline.
 func (l *Limit) beginProbe(mean float64) {
 	l.congested, l.congestedSum, l.saturated = 0, 0, 0
 	l.probe = probe{active: true, before: mean, limit: l.current, skip: true}
 	l.current = max(l.minimum, l.current*probeShare)
 }
 
-// closeProbe ends a probe after its second window. When the time did not follow
-// the limit, the back end is slow at any load: that is its new time at low load,
-// and the limit is put back.
+// closeProbe ends a probe after its second window. If the time did not fall with the
+// limit, the back end is slow at any load: the mean becomes the baseline and the limit is
+// restored.
 func (l *Limit) closeProbe(mean float64) {
 	if l.probe.skip {
 		l.probe.skip = false
@@ -190,21 +208,21 @@
 	}
 	ended := l.probe
 	l.probe = probe{}
-	if mean > probeFollows*ended.before {
+	if mean > probeFollowRatio*ended.before {
 		l.baseline = mean
 		l.current = min(l.maximum, max(ended.limit, l.minimum))
 		return
 	}
-	l.baseline = min(l.baseline, mean) // the limit stays where the probe put it
+	l.baseline = min(l.baseline, mean) // the lowered limit stays
 }
 
-// usableShare is the share of a back end's slots that are used. Some back ends become
-// slower when the last ones are taken, and a request that was given up may hold one for
-// a while. Estimate.
+// usableShare is the share of a back end's slots that is used. Some back ends become
+// slower when the last slots are taken, and a request whose caller gave up may still
+// occupy one for a while.
 const usableShare = 0.94
 
-// UsableSlots returns the limit for a back end that tells how many slots it has, which
-// needs no search: most of them, at least one, 0 for none.
+// UsableSlots returns the limit for a back end with a known number of slots: usableShare
+// of them, rounded up.
 func UsableSlots(slots int) int {
 	return min(slots, int(math.Ceil(float64(slots)*usableShare)))
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,13 +1,13 @@
 package admission
 
-// ticketQueue is a heap of waiting requests: the highest class first, within a class
-// those that are committed, then the highest priority, among equals the newest, which
-// has the most time left.
+// ticketQueue is a heap of queued requests, ordered by class (highest first), upstream
+// work (requests with it first), priority (highest first) and entry into the queue
+// (newest first, because it has the most time left).
 type ticketQueue struct {
 	tickets []*Ticket
 }
 
-// notQueued is the position of a ticket that does not wait.
+// notQueued is the position of a ticket that is not in the queue.
 const notQueued = -1
 
 func (q *ticketQueue) Len() int { return len(q.tickets) }
@@ -50,19 +50,19 @@
 	return ticket
 }
 
-// last returns the last of the requests that fit, nil when there is none.
-func (q *ticketQueue) last(fits func(*Ticket) bool) *Ticket {
+// last returns the matching request that would be served last, nil if none matches.
+func (q *ticketQueue) last(matches func(*Ticket) bool) *Ticket {
 	var worst *Ticket
 	for _, ticket := range q.tickets {
-		if fits(ticket) && (worst == nil || q.before(worst, ticket)) {
+		if matches(ticket) && (worst == nil || q.before(worst, ticket)) {
 			worst = ticket
 		}
 	}
 	return worst
 }
 
-// uncommitted returns the number of those that are not committed.
-func (q *ticketQueue) uncommitted() int {
+// withoutUpstreamWork returns the number of queued requests without upstream work.
+func (q *ticketQueue) withoutUpstreamWork() int {
 	count := 0
 	for _, ticket := range q.tickets {
 		if !ticket.Committed {
@@ -72,9 +72,9 @@
 	return count
 }
 
-// bestUncommitted returns the first of those that are not committed, nil when there is
-// none.
-func (q *ticketQueue) bestUncommitted() *Ticket {
+// bestWithoutUpstreamWork returns the first queued request without upstream work, nil if
+// there is none.
+func (q *ticketQueue) bestWithoutUpstreamWork() *Ticket {
 	var best *Ticket
 	for _, ticket := range q.tickets {
 		if !ticket.Committed && (best == nil || q.before(ticket, best)) {
--- a/admission/rank.go
+++ b/admission/rank.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Ranks of requests that come again after a refusal, which is seen by the time that they
-// have spent. One that came back after a while goes before most first tries: a gate that
-// opens slowly after overload does not refuse it twice. It does not go before all of them:
-// under lasting overload, a route would serve returned requests only then. One that did
-// not wait goes last.
+// The rank of a request depends on the time since its first attempt. A request retried by
+// the client after a sufficient delay goes before most first attempts, so that a gate
+// that opens slowly after overload does not refuse it twice. It does not go before all of
+// them, because under lasting overload a route would then serve only retried requests.
+// A request retried too early goes last.
 const (
-	// returnedRanks is the part of the ranks, from 0, of those that waited.
-	returnedRanks = 0.5
-	// hastyRanks is the rank from which on those go that did not wait.
-	hastyRanks = 0.6
-	// hastyFrom is the time since the first try below which this is the first try.
-	hastyFrom = 20 * time.Millisecond
-	// waitedFrom is the time from which on a caller has waited: the least that any is
-	// told, 100ms, less what clocks may differ by.
-	waitedFrom = 90 * time.Millisecond
+	// retriedRankLimit is the upper bound of the ranks of requests retried after
+	// minimumRetryDelay.
+	retriedRankLimit = 0.5
+	// earlyRetryMinimumRank is the lowest rank of requests retried earlier than that.
+	earlyRetryMinimumRank = 0.6
+	// firstAttemptTime is the time since the first attempt below which a request counts
+	// as the first attempt.
+	firstAttemptTime = 20 * time.Millisecond
+	// minimumRetryDelay is the time after which a retry is not early: the shortest delay
+	// that a client is asked to wait, 100ms, less an allowance for clock differences.
+	minimumRetryDelay = 90 * time.Millisecond
 )
 
-// Rank places a request among those of its route, from 0, the first that a Gate admits,
-// up to 1. spent is the time since its first try; random is evenly spread from 0 up to 1.
+// Rank returns the rank of a request among those of its route, in [0, 1). A Gate admits
+// lower ranks first. spent is the time since the first attempt; random is uniformly
+// distributed in [0, 1).
 func Rank(spent time.Duration, random float64) float64 {
 	switch {
-	case spent < hastyFrom:
+	case spent < firstAttemptTime:
 		return random
-	case spent < waitedFrom:
-		return hastyRanks + random*(1-hastyRanks)
+	case spent < minimumRetryDelay:
+		return earlyRetryMinimumRank + random*(1-earlyRetryMinimumRank)
 	default:
-		return random * returnedRanks
+		return random * retriedRankLimit
 	}
 }
--- a/admission/rank_test.go
+++ b/admission/rank_test.go
@@ -15,11 +15,11 @@
 		spent     time.Duration
 		low, high float64
 	}{
-		{"a first try", 0, 0, 1},
-		{"a first try, a little late", 5 * time.Millisecond, 0, 1},
-		{"came back when told to", 100 * time.Millisecond, 0, returnedRanks},
-		{"came back later", 1500 * time.Millisecond, 0, returnedRanks},
-		{"did not wait", 50 * time.Millisecond, hastyRanks, 1},
+		{"first attempt", 0, 0, 1},
+		{"first attempt, slightly late", 5 * time.Millisecond, 0, 1},
+		{"retried after the minimum delay", 100 * time.Millisecond, 0, retriedRankLimit},
+		{"retried later", 1500 * time.Millisecond, 0, retriedRankLimit},
+		{"retried too early", 50 * time.Millisecond, earlyRetryMinimumRank, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 				is.True(got >= c.low && got < c.high)
 				sum += got
 			}
-			is.True(math.Abs(sum/1000-(c.low+c.high)/2) < 0.05) // spread evenly
+			is.True(math.Abs(sum/1000-(c.low+c.high)/2) < 0.05) // uniformly distributed
 		})
 	}
 }
--- a/admission/uncommitted.go
+++ b/admission/uncommitted.go
@@ -1,58 +1,59 @@
 package admission
 
-// uncommittedShare is the share of the slots, and of the queue, that is kept for
-// requests which are not committed, beside committed ones of their class that would take
-// all. Without it, a back end that serves both would serve the committed only.
-const uncommittedShare = 0.2
+// reservedShare is the share of the slots, and of the queue, that is reserved for
+// requests without upstream work. Without it, requests with upstream work of the same
+// class could take all slots.
+const reservedShare = 0.2
 
-// inFlight counts the requests that a back end works on.
+// inFlight counts the requests that a back end is serving.
 type inFlight struct {
-	all         int
-	uncommitted int
+	total               int
+	withoutUpstreamWork int
 }
 
 func (f *inFlight) start(request *Request) {
-	f.all++
+	f.total++
 	if !request.Committed {
-		f.uncommitted++
+		f.withoutUpstreamWork++
 	}
 }
 
 func (f *inFlight) end(request *Request) {
-	f.all--
+	f.total--
 	if !request.Committed {
-		f.uncommitted--
+		f.withoutUpstreamWork--
 	}
 }
 
-// hasUncommittedShare reports whether the share of the limit for those that are not
-// committed has room for one more, beside committed requests that take up the rest.
-func (f *inFlight) hasUncommittedShare(limit int) bool {
-	if limit == 1 || f.uncommitted == f.all {
+// hasReservedSlot reports whether the reserved share of the limit has a free slot. Nothing
+// is reserved at a limit of 1, or while no requests with upstream work are in flight.
+func (f *inFlight) hasReservedSlot(limit int) bool {
+	if limit == 1 || f.withoutUpstreamWork == f.total {
 		return false
 	}
-	return float64(f.uncommitted+1) <= max(uncommittedShare*float64(limit), 1)
+	return float64(f.withoutUpstreamWork+1) <= max(reservedShare*float64(limit), 1)
 }
 
-// next returns the waiting request to start: the first one, unless the share of the
-// uncommitted has room and one of them is of its class.
-func (q *ticketQueue) next(uncommittedRoom bool) *Ticket {
+// next returns the queued request to start: the first one, or the first one without
+// upstream work if a reserved slot is free and its class is not lower.
+func (q *ticketQueue) next(reservedSlotFree bool) *Ticket {
 	first := q.tickets[0]
-	if !first.Committed || !uncommittedRoom {
+	if !first.Committed || !reservedSlotFree {
 		return first
 	}
-	if best := q.bestUncommitted(); best != nil && ClassOf(best.Priority) >= ClassOf(first.Priority) {
+	if best := q.bestWithoutUpstreamWork(); best != nil && ClassOf(best.Priority) >= ClassOf(first.Priority) {
 		return best
 	}
 	return first
 }
 
-// victim returns the request that a queue of more than limit gives up: the last one,
-// unless those that are not committed are few already.
+// victim returns the request to drop from a queue that is longer than limit: the last
+// one, or the last one with upstream work while those without it fill no more than the
+// reserved share.
 func (q *ticketQueue) victim(limit int) *Ticket {
-	if float64(q.uncommitted()) <= uncommittedShare*float64(limit) {
-		if committed := q.last(func(ticket *Ticket) bool { return ticket.Committed }); committed != nil {
-			return committed
+	if float64(q.withoutUpstreamWork()) <= reservedShare*float64(limit) {
+		if last := q.last(func(ticket *Ticket) bool { return ticket.Committed }); last != nil {
+			return last
 		}
 	}
 	return q.last(func(*Ticket) bool { return true })
