--- a/admission/doc.go
+++ b/admission/doc.go
@@ -14,8 +14,8 @@
 //   - queue.go: a short queue. A free slot goes to the request of the highest class;
 //     within a class, requests with upstream work go first, then the highest priority,
 //     then the newest.
-//   - patience.go: how long a request may wait, and when it is too late to serve it.
-//   - uncommitted.go: the share of the slots that is reserved for requests without upstream
+//   - queuetime.go: how long a request may wait, and when it is too late to serve it.
+//   - reserved.go: the share of the slots that is reserved for requests without upstream
 //     work.
 //   - level.go: the admission level. Requests of a lower priority are refused without
 //     queueing. The level rises until the remaining requests fit, and falls when slots
