--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,21 +1,23 @@
-// Package balance picks the node that a call goes to.
+// Package balance selects the node that a call goes to.
 //
-// It owns what this process knows of the nodes of a service: calls in flight, latency,
-// failures, refusals, load and admission levels. All of it comes from the traffic path:
-// from the calls that this process makes and from what nodes report with answers. Health
-// and load endpoints are not asked, since they lag and mislead. Which nodes there are
-// comes from membership, by Update.
+// It owns what this process knows about the nodes of a service: calls in flight, latency,
+// failures, refusals, load and admission levels. All of it comes from the traffic path,
+// that is from the calls that this process makes and from what nodes report with their
+// answers. Health and load endpoints are not polled, since they lag and mislead. The set
+// of nodes comes from membership through Update.
 //
-// Pick takes the rules in this order:
+// Pick narrows the nodes down in this order:
 //
-//  1. the best group that is not empty of those that would admit the call's priority,
-//     those that are well, those that do not leave, and all (candidates);
-//  2. for a call that may not be repeated, the nodes with the fewest faults (reliable);
-//  3. sound nodes of the own zone, while they have room (zoneCandidates);
-//  4. of a few random ones and one of the own zone, the one of the lowest cost (cheapest,
-//     cost), after "the power of two choices".
+//  1. the first group that is not empty of: nodes that admit the call's priority, available
+//     nodes, nodes that are not leaving, and all nodes (candidates);
+//  2. for a call that must not be repeated, the nodes with the lowest share of failed
+//     calls (reliable);
+//  3. the healthy nodes of the local zone, the zone of this process, while they have room
+//     (zoneCandidates);
+//  4. of a few random nodes and one of the local zone, the one of the lowest cost
+//     (cheapest, cost), a variant of "the power of two choices".
 //
-// A node that fails several times in a row is ejected for a while and then gets one trial
+// A node that fails several calls in a row is ejected for a while and then gets one trial
 // call at a time.
 //
 // Balancer is safe for concurrent use and takes the time as an argument.
@@ -27,36 +29,49 @@
 	"time"
 )
 
-// Balancer picks among the nodes of one service.
+// Balancer selects among the nodes of one service.
 type Balancer struct {
 	mutex  sync.Mutex
 	config Config
-	states map[string]*state
-	list   []*state
-	fast   float64   // latency of a fast node, seconds (fastLatency)
-	fastAt time.Time // when it was looked for
+	// States by node ID.
+	states map[string]*nodeState
+	// The same states in the order of the last Update.
+	list []*nodeState
+	// Result of fastLatency in seconds, and when it was computed.
+	cachedFastLatency float64
+	fastLatencyAt     time.Time
 }
 
-// state is what is known of one node.
-type state struct {
-	target       Target
-	inFlight     int
-	latency      float64       // smoothed, seconds
-	learnedAt    time.Time     // when latency last changed
-	failures     int           // in a row
-	faults       DecayingShare // of calls that failed
-	reported     DecayingShare // of requests that the back end failed, as its node reports
-	refusals     DecayingShare // of calls that were refused
-	ejections    int           // in a row
+// nodeState is what is known about one node.
+type nodeState struct {
+	target   Target
+	inFlight int
+	// Smoothed latency in seconds, 0 while unknown, and when it was last updated.
+	latency   float64
+	latencyAt time.Time
+	// Consecutive failed calls.
+	failures int
+	// Share of this process's calls that failed.
+	faults DecayingShare
+	// Share of requests that the back end failed, as reported by its node.
+	reportedFaults DecayingShare
+	// Share of this process's calls that were refused.
+	refusals DecayingShare
+	// Consecutive ejections.
+	ejections    int
 	ejectedUntil time.Time
-	onTrial      bool
-	load         DecayingShare // of its slots that are taken, above 1 with those that wait
-	loadKnown    bool
-	levels       map[string]shownLevel // by call path
+	// A trial call is in flight.
+	onTrial bool
+	// Share of the slots that are taken. Queued requests count too, so that it may
+	// exceed 1.
+	load      DecayingShare
+	loadKnown bool
+	// Admission levels by call path.
+	levels map[string]reportedLevel
 }
 
-// shownLevel is the admission level that a node last showed for a call path.
-type shownLevel struct {
+// reportedLevel is the admission level that a node last reported for a call path.
+type reportedLevel struct {
 	level int
 	at    time.Time
 }
@@ -64,19 +79,19 @@
 // New returns a Balancer without nodes.
 func New(config Config) *Balancer {
 	config.setDefaults()
-	return &Balancer{config: config, states: map[string]*state{}}
+	return &Balancer{config: config, states: map[string]*nodeState{}}
 }
 
-// Update replaces the list of nodes and keeps what is known of those that stay.
+// Update replaces the list of nodes. Nodes that were in the previous list keep their state.
 func (b *Balancer) Update(now time.Time, targets []Target) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	states := make(map[string]*state, len(targets))
+	states := make(map[string]*nodeState, len(targets))
 	b.list = b.list[:0]
 	for _, target := range targets {
 		known, exists := b.states[target.ID]
 		if !exists {
-			known = &state{}
+			known = &nodeState{}
 			target.Since = now
 		} else {
 			target.Since = known.target.Since
@@ -88,28 +103,28 @@
 	b.states = states
 }
 
-// Size returns the number of nodes.
 func (b *Balancer) Size() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.list)
 }
 
-// Need is what a call asks of the node that it goes to.
+// Need describes a call that needs a node.
 type Need struct {
-	// Path is the call path, whose admission levels count.
+	// Path is the call path whose admission levels apply.
 	Path string
-	// Priority is that of the user request.
+	// Priority of the user request.
 	Priority int
-	// Exclude lists the nodes that were tried before.
+	// Exclude lists the IDs of nodes that must not be selected, because the call was
+	// already sent to them.
 	Exclude []string
-	// Once says that the call may not be repeated, so that a lost answer is lost
-	// for good. It goes to nodes whose back end has answered well lately.
+	// Once reports that the call must not be repeated, so that a lost answer can't be
+	// recovered. Such a call goes to the nodes with the lowest share of failed calls.
 	Once bool
 }
 
-// Pick returns a node for a call and counts the call as in flight to it. It reports
-// false when there is none. Each Pick must be followed by one Done.
+// Pick selects a node for a call and counts the call as in flight there. It returns false
+// if there is no node. Each successful Pick must be followed by one Done.
 func (b *Balancer) Pick(now time.Time, need Need) (Target, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -128,21 +143,21 @@
 	return chosen.target, true
 }
 
-// sampleSize is the number of random candidates that are compared. Two would leave
-// the best of three nodes a third of the calls that should go to it; many would
-// send the calls of all processes to the same node at once.
+// sampleSize is the number of random candidates that are compared. With two, the best of
+// three nodes would miss a third of the calls; with many, all processes would send their
+// calls to the same node at once.
 const sampleSize = 3
 
-// cheapest returns the candidate of the lowest cost among a few random ones and one
-// of the own zone.
-func (b *Balancer) cheapest(now time.Time, candidates []*state) *state {
+// cheapest returns the candidate of the lowest cost among a few random ones and one of
+// the local zone.
+func (b *Balancer) cheapest(now time.Time, candidates []*nodeState) *nodeState {
 	count := min(sampleSize, len(candidates))
 	for i := range count {
 		other := i + b.config.Random(len(candidates)-i)
 		candidates[i], candidates[other] = candidates[other], candidates[i]
 	}
 	best, lowest := candidates[0], b.cost(now, candidates[0])
-	consider := func(candidate *state) {
+	consider := func(candidate *nodeState) {
 		if cost := b.cost(now, candidate); cost < lowest {
 			best, lowest = candidate, cost
 		}
@@ -150,37 +165,36 @@
 	for _, candidate := range candidates[1:count] {
 		consider(candidate)
 	}
-	if own := b.anyOfOwnZone(candidates[count:]); own != nil {
-		consider(own)
+	if local := b.randomInLocalZone(candidates[count:]); local != nil {
+		consider(local)
 	}
 	return best
 }
 
-// inOwnZone reports whether a node is in the zone of this process. Zones of different
-// regions may have the same name.
-func (b *Balancer) inOwnZone(target Target) bool {
+// inLocalZone reports whether a node is in the zone of this process. The region is
+// compared too, since zones of different regions may have the same name.
+func (b *Balancer) inLocalZone(target Target) bool {
 	return target.Zone == b.config.Zone && target.Region == b.config.Region
 }
 
-// anyOfOwnZone returns a random candidate of the own zone, nil when there is none.
-func (b *Balancer) anyOfOwnZone(candidates []*state) *state {
-	own := make([]*state, 0, len(candidates))
+// randomInLocalZone returns a random candidate of the local zone, nil if there is none.
+func (b *Balancer) randomInLocalZone(candidates []*nodeState) *nodeState {
+	local := make([]*nodeState, 0, len(candidates))
 	for _, candidate := range candidates {
-		if b.inOwnZone(candidate.target) {
-			own = append(own, candidate)
+		if b.inLocalZone(candidate.target) {
+			local = append(local, candidate)
 		}
 	}
-	if len(own) == 0 {
+	if len(local) == 0 {
 		return nil
 	}
-	return own[b.config.Random(len(own))]
+	return local[b.config.Random(len(local))]
 }
 
-// candidates returns the best group of nodes that is not empty: those that
-// would admit the priority, then those that are well, then those that do not leave, then
-// all.
-func (b *Balancer) candidates(now time.Time, need Need) []*state {
-	var admitting, well, remaining, all []*state
+// candidates returns the first group of nodes that is not empty: those that admit the
+// priority, available ones (neither suspect nor ejected), those that are not leaving, all.
+func (b *Balancer) candidates(now time.Time, need Need) []*nodeState {
+	var admitting, available, staying, all []*nodeState
 	for _, candidate := range b.list {
 		if slices.Contains(need.Exclude, candidate.target.ID) {
 			continue
@@ -189,16 +203,16 @@
 		if candidate.target.Leaving {
 			continue
 		}
-		remaining = append(remaining, candidate)
+		staying = append(staying, candidate)
 		if candidate.target.Suspect || candidate.ejected(now) {
 			continue
 		}
-		well = append(well, candidate)
+		available = append(available, candidate)
 		if b.levelOf(now, candidate, need.Path) <= need.Priority {
 			admitting = append(admitting, candidate)
 		}
 	}
-	for _, group := range [][]*state{admitting, well, remaining} {
+	for _, group := range [][]*nodeState{admitting, available, staying} {
 		if len(group) > 0 {
 			return group
 		}
@@ -206,8 +220,8 @@
 	return all
 }
 
-// ejected reports whether the node takes no calls now. After its time, it takes
-// one trial call at a time.
-func (s *state) ejected(now time.Time) bool {
+// ejected reports whether the node takes no calls now. After the time of its ejection, it
+// takes one trial call at a time.
+func (s *nodeState) ejected(now time.Time) bool {
 	return now.Before(s.ejectedUntil) || (s.ejections > 0 && s.onTrial)
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -22,8 +22,8 @@
 	return b
 }
 
-// sharesOf makes calls one after the other and counts which node they go to.
-func sharesOf(b *Balancer, now time.Time, priority, calls int) map[string]int {
+// countPicks makes calls one after the other and counts them by node.
+func countPicks(b *Balancer, now time.Time, priority, calls int) map[string]int {
 	counts := map[string]int{}
 	for range calls {
 		target, ok := b.Pick(now, Need{Path: "path", Priority: priority})
@@ -43,7 +43,7 @@
 		prepare func(*Balancer)
 		check   func(*is.I, map[string]int)
 	}{
-		{"even among equals", func(*Balancer) {},
+		{"equal nodes get equal shares", func(*Balancer) {},
 			func(is *is.I, c map[string]int) { is.True(c["a"] > 300 && c["b"] > 300) }},
 		{"avoids a node with calls in flight", func(b *Balancer) {
 			for range 20 {
@@ -58,7 +58,7 @@
 		}, func(is *is.I, c map[string]int) { is.Equal(c["b"], 1000) }},
 		{"avoids a node that would refuse", func(b *Balancer) { b.SetLevel(later, "a", "path", 900) },
 			func(is *is.I, c map[string]int) { is.Equal(c["b"], 1000) }},
-		{"a node that was given up on is not blamed", func(b *Balancer) {
+		{"caller that gives up does not eject the node", func(b *Balancer) {
 			for range 9 {
 				b.Pick(later, Need{Path: "path", Exclude: []string{"b"}})
 				b.Done(later, "a", 0, Unknown)
@@ -69,30 +69,30 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer("a", "b")
 			c.prepare(b)
-			c.check(is.New(t), sharesOf(b, later, 100, 1000))
+			c.check(is.New(t), countPicks(b, later, 100, 1000))
 		})
 	}
 }
 
-// TestRivalOfABadNode: a node is avoided that fails or refuses a part of its
-// calls, and tried again some time after that.
-func TestRivalOfABadNode(t *testing.T) {
+// TestBadNodeIsAvoided checks that a node which fails or refuses some of its calls is
+// avoided, and gets calls again after it recovers.
+func TestBadNodeIsAvoided(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome Outcome
-		every   int // that call of the bad node ends so
-		most    int // of 3000 calls to 3 nodes, for the bad one
+		every   int // every such call to the bad node has the outcome
+		maximum int // calls to the bad node, of 3000 to 3 nodes
 	}{
-		"fails a third":          {Failed, 3, 300},
-		"answers failures":       {Faulty, 3, 300},
-		"refuses half":           {Refused, 2, 850},
-		"fails one in a hundred": {Failed, 100, 1100},
+		"fails one in three":                  {Failed, 3, 300},
+		"answers one in three with a failure": {Faulty, 3, 300},
+		"refuses one in two":                  {Refused, 2, 850},
+		"fails one in a hundred":              {Failed, 100, 1100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer("bad", "b", "c")
 			now, counts := epoch.Add(time.Minute), map[string]int{}
 			latencies := rand.New(rand.NewPCG(3, 4))
-			play := func(calls int, ends Outcome) {
+			run := func(calls int, badOutcome Outcome) {
 				clear(counts)
 				for range calls {
 					now = now.Add(time.Millisecond)
@@ -101,24 +101,24 @@
 					counts[target.ID]++
 					outcome := Answered
 					if target.ID == "bad" && counts["bad"]%c.every == 0 {
-						outcome = ends
+						outcome = badOutcome
 					}
 					latency := time.Millisecond + time.Duration(latencies.Int64N(int64(time.Millisecond)))
 					b.Done(now, target.ID, latency, outcome)
 				}
 			}
-			play(3000, c.outcome)
-			is.True(counts["bad"] <= c.most)
+			run(3000, c.outcome)
+			is.True(counts["bad"] <= c.maximum)
 			is.True(counts["bad"] > 0)
 			now = now.Add(10 * time.Second)
-			play(3000, Answered)
-			is.True(counts["bad"] > 500) // it has recovered
+			run(3000, Answered)
+			is.True(counts["bad"] > 500) // the node has recovered
 		})
 	}
 }
 
-// TestARefusalTeachesNoLatency: a node that refuses at once is not a fast one.
-func TestARefusalTeachesNoLatency(t *testing.T) {
+// TestRefusalKeepsLatency guards against taking a node that refuses at once for a fast one.
+func TestRefusalKeepsLatency(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer("a")
 	b.Done(epoch, "a", 100*time.Millisecond, Answered)
@@ -129,20 +129,19 @@
 	is.Equal(b.Latency("a"), 100*time.Millisecond)
 }
 
-// TestCallsStayInTheirZone while its node is as good as the others.
-func TestCallsStayInTheirZone(t *testing.T) {
+// TestCallsStayInLocalZone checks that calls stay while all nodes are equally good.
+func TestCallsStayInLocalZone(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	b.Update(epoch, []Target{
 		{ID: "near", Region: "r", Zone: "z"}, {ID: "far", Region: "r", Zone: "y"}, {ID: "farther", Region: "r", Zone: "x"},
 	})
-	is.Equal(sharesOf(b, epoch.Add(time.Minute), 0, 1000)["near"], 1000)
+	is.Equal(countPicks(b, epoch.Add(time.Minute), 0, 1000)["near"], 1000)
 }
 
-// TestTheOnlyNodeWithRoomIsFound: of three nodes the one that is far is the only one
-// that answers soon. With two choices, one of them of the own zone, it got half of
-// the calls while the others refused.
-func TestTheOnlyNodeWithRoomIsFound(t *testing.T) {
+// TestFastestNodeIsFound guards against a sample that is too small to contain the only fast
+// node, which is in another zone.
+func TestFastestNodeIsFound(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	b.Update(epoch, []Target{
@@ -161,31 +160,31 @@
 		b.Done(now, target.ID, latency, Answered)
 	}
 	is.True(counts["farther"] > 900)
-	is.True(counts["near"] > 0) // tried now and then
+	is.True(counts["near"] > 0) // tried from time to time
 }
 
-// TestALeavingNodeIsTheLastResort: it still takes requests for a moment, which is
-// better than none when the others are gone.
-func TestALeavingNodeIsTheLastResort(t *testing.T) {
+// TestLeavingNodeIsLastResort checks that a leaving node gets calls only when no other node
+// is left.
+func TestLeavingNodeIsLastResort(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer()
 	staying, leaving := Target{ID: "staying"}, Target{ID: "leaving", Leaving: true}
 	b.Update(epoch, []Target{staying, leaving})
-	is.Equal(sharesOf(b, epoch, 0, 100)["staying"], 100)
+	is.Equal(countPicks(b, epoch, 0, 100)["staying"], 100)
 	staying.Suspect = true
 	b.Update(epoch, []Target{staying, leaving})
-	is.Equal(sharesOf(b, epoch, 0, 100)["staying"], 100)
+	is.Equal(countPicks(b, epoch, 0, 100)["staying"], 100)
 	b.Update(epoch, []Target{leaving})
-	is.Equal(sharesOf(b, epoch, 0, 100)["leaving"], 100)
+	is.Equal(countPicks(b, epoch, 0, 100)["leaving"], 100)
 }
 
-func TestColdNodeComesIntoItsShareSlowly(t *testing.T) {
+func TestColdNodeWarmsUp(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer("a", "b")
 	now := epoch.Add(time.Minute)
 	b.Update(now, []Target{{ID: "a", Region: "r", Zone: "z"}, {ID: "b", Region: "r", Zone: "z"}, {ID: "cold", Region: "r", Zone: "z"}})
-	is.True(sharesOf(b, now, 0, 900)["cold"] < 200)
-	is.True(sharesOf(b, now.Add(time.Minute), 0, 900)["cold"] > 200)
+	is.True(countPicks(b, now, 0, 900)["cold"] < 200)
+	is.True(countPicks(b, now.Add(time.Minute), 0, 900)["cold"] > 200)
 }
 
 func TestEjectionEndsWithATrial(t *testing.T) {
@@ -198,16 +197,16 @@
 	}
 	is.Equal(b.Level(epoch, "path"), 0)
 	_, ok := b.Pick(epoch, Need{Path: "path"})
-	is.True(ok) // nothing else is left, so it is tried all the same
+	is.True(ok) // an ejected node is tried if no other is left
 	b.Done(epoch, "a", time.Millisecond, Answered)
-	is.Equal(sharesOf(b, epoch, 0, 10)["a"], 10)
+	is.Equal(countPicks(b, epoch, 0, 10)["a"], 10)
 }
 
-func TestLevelIsTheMeanAndIsForgotten(t *testing.T) {
+func TestLevelIsMeanAndDecays(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer("a", "b")
 	b.SetLevel(epoch, "a", "path", 800)
-	is.Equal(b.Level(epoch, "path"), 400) // b admits all
+	is.Equal(b.Level(epoch, "path"), 400) // b admits all priorities
 	b.SetLevel(epoch, "b", "path", 600)
 	is.Equal(b.Level(epoch, "path"), 700)
 	is.Equal(b.Level(epoch, "other path"), 0)
--- a/balance/config.go
+++ b/balance/config.go
@@ -11,21 +11,27 @@
 	Address string
 	Region  string
 	Zone    string
-	Suspect bool      // believed to be in trouble; taken only when nothing better is left
-	Leaving bool      // takes requests for a moment only; taken when nothing else is left
-	Since   time.Time // when this process first saw it
+	// Suspect reports that membership suspects the node of having failed. It is selected
+	// only if no better node is left.
+	Suspect bool
+	// Leaving reports that the node is shutting down and takes requests for a short time
+	// only. It is selected only if no other node is left.
+	Leaving bool
+	// Since is when this process first saw the node. Update sets it.
+	Since time.Time
 }
 
 // Config configures a Balancer.
 type Config struct {
-	// Region and Zone of this process. Calls prefer their own.
+	// Region and Zone are those of this process. Calls prefer nodes there.
 	Region string
 	Zone   string
 
-	// Random returns a whole number in [0, n). Default math/rand/v2.IntN.
+	// Random returns an integer in [0, n). Default math/rand/v2.IntN.
 	Random func(n int) int
 
-	// OnEject is called when a node is ejected or restored. May be nil.
+	// OnEject is called when a node is ejected (true) or restored (false), with the
+	// Balancer locked. May be nil.
 	OnEject func(target Target, ejected bool)
 }
 
@@ -44,31 +50,30 @@
 	zoneCost = 500 * time.Microsecond
 	// regionCost is added to the latency of a node in another region.
 	regionCost = 20 * time.Millisecond
-	// warmUp is the time in which a new node comes to its full share. Longer is
-	// gentler to cold back ends, shorter uses them sooner; a back end may be warm
-	// although its node was started again, and its latency shows what it is.
+	// warmUp is the time over which the share of calls of a new node grows to its full
+	// size. Longer is gentler on cold back ends, shorter uses them sooner. The back end of
+	// a new node is not always cold: the node alone may have been restarted.
 	warmUp = 2 * time.Second
-	// ejectAfter is the number of failures in a row that eject a node.
+	// ejectAfter is the number of consecutive failures that eject a node.
 	ejectAfter = 4
-	// ejectTime is the first time of an ejection; it doubles with each further
-	// one up to maximumEjectTime.
+	// ejectTime is the length of a first ejection. It doubles with each consecutive one,
+	// up to maximumEjectTime.
 	ejectTime        = time.Second
 	maximumEjectTime = 10 * time.Second
-	// FaultHalfLife is how fast the failed calls of a node are forgotten that gets
-	// no others. Shorter tries such a node sooner, longer loses fewer calls to
-	// one that stays broken. Nodes forget the faults of their back ends as fast, since
-	// they report them to balancers.
+	// FaultHalfLife is the half-life of a node's share of failed calls while it gets none.
+	// Shorter tries such a node sooner, longer loses fewer calls to one that stays
+	// broken. Nodes use it as well for the faults of their back ends, since they report
+	// them to balancers.
 	FaultHalfLife = 2 * time.Second
 	// refusalHalfLife is the same for refused calls.
 	refusalHalfLife = 500 * time.Millisecond
-	// latencyHalfLife is how fast the latency of a node is forgotten that gets no
-	// calls: it counts half after this time, so that a node that was slow is tried
-	// again. Shorter tries sooner, longer loses less time to a slow one.
+	// latencyHalfLife is the half-life of a node's latency while it gets no calls, so that
+	// a node that was slow is tried again. Shorter tries sooner, longer loses less time to
+	// a node that stays slow.
 	latencyHalfLife = 2 * time.Second
-	// loadHalfLife is how fast the load that a node has shown is forgotten when it
-	// gets no calls. Shorter tries a full node sooner, longer spares it.
+	// loadHalfLife is the half-life of the load that a node reported while it gets no
+	// calls. Shorter tries a full node sooner, longer spares it.
 	loadHalfLife = time.Second
-	// levelHalfLife is how fast an admission level that was not confirmed is
-	// forgotten: after this time it counts half.
+	// levelHalfLife is the half-life of an admission level that is not reported again.
 	levelHalfLife = 500 * time.Millisecond
 )
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -5,23 +5,21 @@
 	"time"
 )
 
-// awayFactor is how much better a node of another zone must be to be chosen over
-// one of the own: bytes between zones cost, and zones lose each other. 1.2 and 1.5 were
-// compared under overload; no difference showed.
-const awayFactor = 1.2
+// otherZoneFactor multiplies the cost of a node outside the local zone, because traffic
+// between zones is charged for and zones may lose their connection.
+const otherZoneFactor = 1.2
 
-// minimumLatency, in seconds, keeps the cost of a node that has not answered yet above 0.
+// minimumLatency in seconds keeps the cost of a node that has not answered yet above 0.
 const minimumLatency = 0.0005
 
-// leastWarm is the least share of its calls that a new node is taken to be ready for, so
-// that it gets some from the start.
-const leastWarm = 0.1
+// minimumWarmShare is the share of its calls that a new node gets from the start.
+const minimumWarmShare = 0.1
 
-// cost returns what a call at a node costs, in seconds: the latency, for each call in
-// flight and this one, raised for another zone or region, for a node that has just
-// started, and for one that refuses or fails a part of its calls.
-func (b *Balancer) cost(now time.Time, s *state) float64 {
-	latency := max(b.believedLatency(now, s), minimumLatency)
+// cost returns the cost of a call to a node in seconds: its latency times the calls in
+// flight, including this one. The cost is higher for a node in another zone or region,
+// for a new node, and for one that refuses or fails some of its calls.
+func (b *Balancer) cost(now time.Time, s *nodeState) float64 {
+	latency := max(b.expectedLatency(now, s), minimumLatency)
 	switch {
 	case s.target.Region != b.config.Region:
 		latency += regionCost.Seconds()
@@ -29,35 +27,36 @@
 		latency += zoneCost.Seconds()
 	}
 	cost := latency * float64(s.inFlight+1)
-	if !b.inOwnZone(s.target) {
-		cost *= awayFactor
+	if !b.inLocalZone(s.target) {
+		cost *= otherZoneFactor
 	}
 	if age := now.Sub(s.target.Since); age < warmUp {
-		cost /= max(age.Seconds()/warmUp.Seconds(), leastWarm)
+		cost /= max(age.Seconds()/warmUp.Seconds(), minimumWarmShare)
 	}
 	served := 1 - s.refusals.At(now, refusalHalfLife)
-	sound := 1 - b.faultsOf(now, s)
-	return cost / max(served*math.Pow(sound, faultWeight), leastYield)
+	succeeded := 1 - b.faultsOf(now, s)
+	return cost / max(served*math.Pow(succeeded, faultWeight), minimumYield)
 }
 
-// believedLatency returns the latency of a node as it is believed now, in seconds. One
-// that has not answered yet is taken for half as slow as a fast one: taken for far
-// faster than all others, one that only refuses would get the first offer of every call.
-func (b *Balancer) believedLatency(now time.Time, s *state) float64 {
+// expectedLatency returns the latency that is assumed for a node now, in seconds. A node
+// that has not answered yet is assumed to be faster than a fast one, so that it is tried,
+// but not by far: a node that only refuses would otherwise be the first choice of every
+// call.
+func (b *Balancer) expectedLatency(now time.Time, s *nodeState) float64 {
 	if s.latency == 0 {
-		return unknownShare * b.fastLatency(now)
+		return unknownLatencyShare * b.fastLatency(now)
 	}
-	return s.latency * decay(now.Sub(s.learnedAt), latencyHalfLife)
+	return s.latency * decay(now.Sub(s.latencyAt), latencyHalfLife)
 }
 
 const (
-	// unknownShare is the part of a fast node's latency that one which has not
-	// answered yet is taken to have, so that it is tried.
-	unknownShare = 0.5
-	// faultWeight is how much more a failed call costs than a refused one, which
-	// is offered to another node at no loss: a failed one needs a retry, of which
-	// there are few, or is lost.
+	// unknownLatencyShare multiplies the latency of a fast node to get that of a node which
+	// has not answered yet.
+	unknownLatencyShare = 0.5
+	// faultWeight is the weight of failed calls relative to refused ones. A refused call
+	// is offered to another node without loss; a failed one takes a retry from the budget
+	// or is lost.
 	faultWeight = 3
-	// leastYield bounds how much refused and failed calls raise the cost.
-	leastYield = 0.01
+	// minimumYield bounds the increase of the cost by refused and failed calls.
+	minimumYield = 0.01
 )
--- a/balance/cost_test.go
+++ b/balance/cost_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// TestANodeThatIsGivenUpOnIsSlow: its callers wait until their time is over and never
-// see an answer. That is no reason to go on calling it.
-func TestANodeThatIsGivenUpOnIsSlow(t *testing.T) {
-	for name, ends := range map[string]Outcome{"the caller gave up": Unknown, "the time was over": Failed} {
+// TestNodeWithoutAnswersIsAvoided guards against a slow node that keeps its calls because no
+// caller waits long enough to measure its latency.
+func TestNodeWithoutAnswersIsAvoided(t *testing.T) {
+	for name, outcome := range map[string]Outcome{"caller gave up": Unknown, "no answer in time": Failed} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer("slow", "b", "c")
 			now, counts := epoch.Add(time.Minute), map[string]int{}
-			play := func(calls int, slow bool) {
+			run := func(calls int, slow bool) {
 				clear(counts)
 				for range calls {
 					now = now.Add(time.Millisecond)
@@ -23,27 +23,27 @@
 					is.True(found)
 					counts[target.ID]++
 					if slow && target.ID == "slow" {
-						b.Done(now, target.ID, 700*time.Millisecond, ends)
+						b.Done(now, target.ID, 700*time.Millisecond, outcome)
 						continue
 					}
 					b.Done(now, target.ID, 20*time.Millisecond, Answered)
 				}
 			}
-			play(1000, false)
+			run(1000, false)
 			is.True(counts["slow"] > 200)
-			play(1000, true)
+			run(1000, true)
 			is.True(counts["slow"] > 0)
 			is.True(counts["slow"] < 50)
 			now = now.Add(20 * time.Second)
-			play(3000, false)
-			is.True(counts["slow"] > 500) // it has recovered
+			run(3000, false)
+			is.True(counts["slow"] > 500) // the node has recovered
 		})
 	}
 }
 
-// TestANodeThatOnlyRefusesIsNoFastOne: it has never answered, so that nothing is known of
-// its latency.
-func TestANodeThatOnlyRefusesIsNoFastOne(t *testing.T) {
+// TestNodeThatOnlyRefusesIsNotFast guards against too low a latency assumed for a node that
+// has never answered.
+func TestNodeThatOnlyRefusesIsNotFast(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer("refuses", "b", "c")
 	now, refused := epoch.Add(time.Minute), 0
--- a/balance/faults.go
+++ b/balance/faults.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// SetFaults records the share of requests, 0 to 1, that the back end of a node
-// failed lately, as the node reports. The node sees the requests of all callers, so that
-// it knows sooner than one caller learns from its own calls.
+// SetFaults records the share of recent requests, 0 to 1, that the back end of a node
+// failed, as reported by the node. The node sees the requests of all callers and therefore
+// detects faults sooner than a single caller.
 func (b *Balancer) SetFaults(now time.Time, id string, share float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if s, exists := b.states[id]; exists {
-		s.reported = DecayingShare{value: min(max(share, 0), 1), since: now}
+		s.reportedFaults = DecayingShare{value: min(max(share, 0), 1), updatedAt: now}
 	}
 }
 
-// faultsOf returns the share of a node's calls that fail, by what was seen here and
-// what the node reported, whichever is higher.
-func (b *Balancer) faultsOf(now time.Time, s *state) float64 {
-	return max(s.faults.At(now, FaultHalfLife), s.reported.At(now, FaultHalfLife))
+// faultsOf returns the share of a node's calls that fail: the higher one of the share
+// observed by this process and the share reported by the node.
+func (b *Balancer) faultsOf(now time.Time, s *nodeState) float64 {
+	return max(s.faults.At(now, FaultHalfLife), s.reportedFaults.At(now, FaultHalfLife))
 }
 
 const (
-	// reliableMargin is how much more faults than the best node a node may have to
-	// get calls that may not be repeated. Below it, one lost answer among some
-	// thirty can't be told from chance.
+	// reliableMargin is the difference to the lowest share of failed calls up to which a
+	// node gets calls that must not be repeated. One lost answer in about thirty may be
+	// chance.
 	reliableMargin = 0.03
-	// reliableLoad is the load from which on a node has no room for the calls that
-	// others are spared.
+	// reliableLoad is the load from which on a node gets no additional calls because of
+	// its reliability.
 	reliableLoad = fullLoad
 )
 
-// reliable returns the candidates with the fewest faults that have room, all of them
-// when none has.
-func (b *Balancer) reliable(now time.Time, candidates []*state) []*state {
-	fewest := 1.0
+// reliable returns the candidates with room that have the lowest share of failed calls,
+// all candidates if none has room.
+func (b *Balancer) reliable(now time.Time, candidates []*nodeState) []*nodeState {
+	minimum := 1.0
 	for _, candidate := range candidates {
 		if b.hasRoom(now, candidate) {
-			fewest = min(fewest, b.faultsOf(now, candidate))
+			minimum = min(minimum, b.faultsOf(now, candidate))
 		}
 	}
-	chosen := make([]*state, 0, len(candidates))
+	chosen := make([]*nodeState, 0, len(candidates))
 	for _, candidate := range candidates {
-		if b.hasRoom(now, candidate) && b.faultsOf(now, candidate) <= fewest+reliableMargin {
+		if b.hasRoom(now, candidate) && b.faultsOf(now, candidate) <= minimum+reliableMargin {
 			chosen = append(chosen, candidate)
 		}
 	}
@@ -50,6 +50,6 @@
 	return chosen
 }
 
-func (b *Balancer) hasRoom(now time.Time, s *state) bool {
+func (b *Balancer) hasRoom(now time.Time, s *nodeState) bool {
 	return s.load.At(now, loadHalfLife) < reliableLoad
 }
--- a/balance/level.go
+++ b/balance/level.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SetLevel records the admission level that a node showed for a call path.
+// SetLevel records the admission level that a node reported for a call path.
 func (b *Balancer) SetLevel(now time.Time, id, path string, level int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -15,33 +15,32 @@
 		return
 	}
 	if s.levels == nil {
-		s.levels = map[string]shownLevel{}
+		s.levels = map[string]reportedLevel{}
 	}
-	s.levels[path] = shownLevel{level: level, at: now}
+	s.levels[path] = reportedLevel{level: level, at: now}
 }
 
-// levelBits is the number of bits of the highest level, 1024, and more: after as many half
-// lives a level is forgotten.
+// levelBits bounds the shift that halves a level. It exceeds the bits of the highest
+// level, 1024, so that a level is 0 after as many half-lives.
 const levelBits = 16
 
-// levelOf returns the level of a node for a call path, forgotten with time.
-func (b *Balancer) levelOf(now time.Time, s *state, path string) int {
-	shown, exists := s.levels[path]
+// levelOf returns the level of a node for a call path, decayed since it was reported.
+func (b *Balancer) levelOf(now time.Time, s *nodeState, path string) int {
+	reported, exists := s.levels[path]
 	if !exists {
 		return 0
 	}
-	age := now.Sub(shown.at)
+	age := now.Sub(reported.at)
 	if age <= levelHalfLife {
-		return shown.level
+		return reported.level
 	}
-	return shown.level >> min(int(age/levelHalfLife), levelBits)
+	return reported.level >> min(int(age/levelHalfLife), levelBits)
 }
 
-// Level returns the mean admission level for a call path of the nodes that take
-// calls. Calls of a lower priority are better refused here than further down.
-// The mean, not the lowest: with the lowest, what one node would still admit is
-// sent on by every caller at once, and most of it is refused after other
-// services have worked for it.
+// Level returns the mean admission level of the nodes that take calls, for a call path.
+// Calls of a lower priority are better refused here than downstream. It is not the
+// minimum, because all callers would then send at once what only one node admits, and
+// most of it would be refused after other services have worked for it.
 func (b *Balancer) Level(now time.Time, path string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -2,22 +2,28 @@
 
 import "time"
 
-// Outcome is how a call ended, as far as it says something about the node.
+// Outcome is the result of a call as far as it concerns the node.
 type Outcome int
 
 // Outcomes.
 const (
-	Answered Outcome = iota // a whole answer of the back end
-	Faulty                  // an answer of the back end that tells of a failure
-	Refused                 // the node did not run the call
-	Failed                  // no connection, a broken one, or no answer in time
-	Unknown                 // the caller gave up; only the time that it waited is learned
+	// Answered: the back end gave a complete answer.
+	Answered Outcome = iota
+	// Faulty: the answer of the back end reports a failure.
+	Faulty
+	// Refused: the node did not run the call.
+	Refused
+	// Failed: there was no connection, it broke, or there was no answer in time.
+	Failed
+	// Unknown: the caller gave up. Only the time that it waited is recorded.
+	Unknown
 )
 
 // smoothing is the weight of one call in the smoothed latency.
 const smoothing = 0.1
 
-// Done ends a call that Pick began.
+// Done records the end of a call for which Pick selected the node id. latency is the time
+// until the answer or until the call ended without one.
 func (b *Balancer) Done(now time.Time, id string, latency time.Duration, outcome Outcome) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -30,15 +36,15 @@
 	s.refusals.Learn(now, refusalHalfLife, outcome == Refused)
 	switch outcome {
 	case Answered, Faulty:
-		b.learnLatency(now, s, latency)
+		b.updateLatency(now, s, latency)
 		s.faults.Learn(now, FaultHalfLife, outcome == Faulty)
-		b.responded(s)
+		b.resetFailures(s)
 	case Refused:
-		b.responded(s)
+		b.resetFailures(s)
 	case Unknown:
-		b.learnLeastLatency(now, s, latency)
+		b.recordMinimumLatency(now, s, latency)
 	case Failed:
-		b.learnLeastLatency(now, s, latency)
+		b.recordMinimumLatency(now, s, latency)
 		s.faults.Learn(now, FaultHalfLife, true)
 		s.failures++
 		if s.failures >= ejectAfter || s.ejections > 0 {
@@ -47,8 +53,8 @@
 	}
 }
 
-// responded ends a row of failures and an ejection: the node is there.
-func (b *Balancer) responded(s *state) {
+// resetFailures ends a series of failures or an ejection after the node has responded.
+func (b *Balancer) resetFailures(s *nodeState) {
 	s.failures = 0
 	if s.ejections > 0 {
 		s.ejections = 0
@@ -56,38 +62,37 @@
 	}
 }
 
-// learnLatency takes the latency of a call. It counts the more, the older what is
-// known is, so that a node that was slow is not taken for slow after it has answered
-// fast.
-func (b *Balancer) learnLatency(now time.Time, s *state, latency time.Duration) {
-	weight := 1 - (1-smoothing)*decay(now.Sub(s.learnedAt), latencyHalfLife)
-	s.learnedAt = now
+// updateLatency records the latency of a call. Its weight grows with the age of the known
+// latency, so that a node recovers from a slow period with its first fast answers.
+func (b *Balancer) updateLatency(now time.Time, s *nodeState, latency time.Duration) {
+	weight := 1 - (1-smoothing)*decay(now.Sub(s.latencyAt), latencyHalfLife)
+	s.latencyAt = now
 	if s.latency == 0 {
 		weight = 1
 	}
 	s.latency += weight * (latency.Seconds() - s.latency)
 }
 
-// farLonger is how many times its usual latency a call must have waited for a node in
-// vain to tell that the node became slow, rather than that the call broke.
-const farLonger = 2
+// slowCallFactor is the ratio to the usual latency above which a call without an answer
+// shows that the node became slow. A shorter one may merely have broken off.
+const slowCallFactor = 2
 
-// learnLeastLatency takes a call that ended without an answer after some time. Its
-// answer would have taken longer. Without this, a node that became so slow that its
-// callers give up would keep the latency that it had before.
-func (b *Balancer) learnLeastLatency(now time.Time, s *state, least time.Duration) {
-	if s.latency > 0 && least.Seconds() > farLonger*s.latency {
-		b.learnLatency(now, s, least)
+// recordMinimumLatency records a call that ended without an answer after some time, which
+// is a lower bound of its latency. Without this, a node that became so slow that callers
+// give up would keep its earlier latency.
+func (b *Balancer) recordMinimumLatency(now time.Time, s *nodeState, minimum time.Duration) {
+	if s.latency > 0 && minimum.Seconds() > slowCallFactor*s.latency {
+		b.updateLatency(now, s, minimum)
 	}
 }
 
-// mostDoublings bounds the shift by which the time of an ejection doubles, so that it
+// maximumDoublings bounds the shift that doubles the length of an ejection, so that it
 // can't overflow.
-const mostDoublings = 10
+const maximumDoublings = 10
 
-// eject takes a node out for a while, longer each time in a row.
-func (b *Balancer) eject(now time.Time, s *state) {
-	wait := min(ejectTime<<min(s.ejections, mostDoublings), maximumEjectTime)
+// eject excludes a node for a while, longer with each consecutive ejection.
+func (b *Balancer) eject(now time.Time, s *nodeState) {
+	wait := min(ejectTime<<min(s.ejections, maximumDoublings), maximumEjectTime)
 	s.ejectedUntil = now.Add(wait)
 	s.ejections++
 	s.failures = 0
@@ -96,7 +101,7 @@
 	}
 }
 
-// Latency returns the smoothed latency of a node, 0 when it has not answered.
+// Latency returns the smoothed latency of a node, 0 if it is unknown.
 func (b *Balancer) Latency(id string) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/balance/zone_test.go
+++ b/balance/zone_test.go
@@ -9,25 +9,25 @@
 	"github.com/matryer/is"
 )
 
-// TestCallsStayInTheZoneWhileItHasRoom although the nodes of another one are faster,
-// and leave it in parts as it fills. One node is a zone as well; one that is far slower
-// than the others keeps nothing.
-func TestCallsStayInTheZoneWhileItHasRoom(t *testing.T) {
+// TestCallsStayWhileZoneHasRoom checks that calls stay in the local zone although the nodes
+// of another one are faster, leave it in part as it fills, and leave it if its nodes are
+// far slower.
+func TestCallsStayWhileZoneHasRoom(t *testing.T) {
 	later := epoch.Add(time.Minute)
 	cases := []struct {
-		name        string
-		near, away  int
-		slower      int     // times the latency of the others
-		load        float64 // shown by the nodes of the zone, 0: nothing is shown
-		least, most float64 // share of the calls that stay
+		name             string
+		near, away       int     // number of nodes in the local zone and in another one
+		slower           int     // latency of the local zone as a multiple of the other zone's
+		load             float64 // reported by all nodes, 0: not reported
+		minimum, maximum float64 // share of the calls that stay
 	}{
-		{"room", 4, 12, 3, 0.3, mostLocal, 1},
+		{"room", 4, 12, 3, 0.3, maximumLocalShare, 1},
 		{"filling", 4, 12, 3, 0.725, 0.4, 0.6},
 		{"full", 4, 12, 3, 1, 0, 0.2},
-		{"queues", 4, 12, 3, 9, 0, 0.2},
-		{"nothing is known", 4, 12, 3, 0, 0, 0.2},
+		{"queueing", 4, 12, 3, 9, 0, 0.2},
+		{"load unknown", 4, 12, 3, 0, 0, 0.2},
 		{"far slower", 4, 12, 5, 0.3, 0, 0.2},
-		{"one node with room", 1, 2, 3, 0.3, mostLocal, 1},
+		{"one node with room", 1, 2, 3, 0.3, maximumLocalShare, 1},
 		{"one node, filling", 1, 2, 3, 0.725, 0.4, 0.7},
 		{"one node, far slower", 1, 2, 5, 0.3, 0, 0.2},
 	}
@@ -64,16 +64,16 @@
 				}
 			}
 			share := float64(stayed) / calls
-			if share < c.least-0.01 || share > c.most {
-				t.Errorf("a share of %.2f stays", share)
+			if share < c.minimum-0.01 || share > c.maximum {
+				t.Errorf("share of calls that stayed in the local zone: %.2f", share)
 			}
 		})
 	}
 }
 
-// TestAZoneWhoseNodesFailIsLeft: those that are ejected or would refuse are no
-// choice, whatever room they had.
-func TestAZoneWhoseNodesFailIsLeft(t *testing.T) {
+// TestSuspectZoneIsLeft checks that calls leave a zone whose nodes are all suspect, even if
+// they have room.
+func TestSuspectZoneIsLeft(t *testing.T) {
 	is := is.New(t)
 	later := epoch.Add(time.Minute)
 	b := New(Config{Region: "r", Zone: "z", Random: rand.New(rand.NewPCG(1, 2)).IntN})
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestAZoneIsLeftForWhatItsOnlyNodeShows: calls go elsewhere while the only node of
-// the zone fails or refuses some of them, and come back when it no longer does.
-func TestAZoneIsLeftForWhatItsOnlyNodeShows(t *testing.T) {
-	for name, ends := range map[string]Outcome{"fails": Failed, "answers failures": Faulty, "refuses": Refused} {
+// TestZoneWithBadNodeIsLeft checks that calls go to other zones while the only node of the
+// local zone fails or refuses some of them, and stay again after it recovers.
+func TestZoneWithBadNodeIsLeft(t *testing.T) {
+	for name, badOutcome := range map[string]Outcome{"fails": Failed, "answers with failures": Faulty, "refuses": Refused} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := New(Config{Region: "r", Zone: "z", Random: rand.New(rand.NewPCG(1, 2)).IntN})
@@ -106,34 +106,34 @@
 				{ID: "near", Region: "r", Zone: "z"}, {ID: "far", Region: "r", Zone: "y"}, {ID: "farther", Region: "r", Zone: "x"},
 			})
 			now := epoch.Add(time.Minute)
-			play := func(calls int, outcome Outcome) (near int) {
+			run := func(calls int, outcome Outcome) (near int) {
 				for i := range calls {
 					now = now.Add(time.Millisecond)
 					target, found := b.Pick(now, Need{Path: "path"})
 					is.True(found)
 					b.SetLoad(now, target.ID, 0.3)
-					ended := Answered
+					result := Answered
 					if target.ID == "near" {
 						near++
 						if i%2 == 0 {
-							ended = outcome
+							result = outcome
 						}
 					}
-					b.Done(now, target.ID, 20*time.Millisecond, ended)
+					b.Done(now, target.ID, 20*time.Millisecond, result)
 				}
 				return near
 			}
-			is.True(play(1000, Answered) > 950)
-			is.True(play(1000, ends) < 500)
+			is.True(run(1000, Answered) > 950)
+			is.True(run(1000, badOutcome) < 500)
 			now = now.Add(10 * time.Second)
-			is.True(play(1000, Answered) > 900)
+			is.True(run(1000, Answered) > 900)
 		})
 	}
 }
 
-// TestOneLuckyAnswerMakesNoZoneSlow: among many nodes there is one that was called once
-// and answered at once. Beside it, all others look slow.
-func TestOneLuckyAnswerMakesNoZoneSlow(t *testing.T) {
+// TestSingleFastAnswerIsIgnored guards against one node that answered fast by chance and
+// makes the whole local zone look too slow to keep its calls.
+func TestSingleFastAnswerIsIgnored(t *testing.T) {
 	is := is.New(t)
 	b := New(Config{Region: "r", Zone: "z", Random: rand.New(rand.NewPCG(1, 2)).IntN})
 	targets := []Target{}
