--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,11 +1,12 @@
-// Package retry decides when a call is sent again: how long an attempt may go without an
-// answer (Timeout), and what follows when it has ended (Decide): the call is sent to
-// another node at once, again after a pause, or not at all.
+// Package retry decides when a call is sent again. Timeout returns how long an attempt may
+// wait for its answer. Decide returns what follows an attempt: the call is sent to another
+// node at once, sent again after a pause, or not sent again.
 //
-// It owns these rules and the times and bounds in them. What a result code lets one
-// conclude stands beside the codes (result.Conclusion), and how many retries there are is
-// counted by package retrybudget. Plug-ins routing and retry gather the facts, ask the
-// budgets and carry the decisions out. Nothing here does I/O, reads a clock or keeps state.
+// It owns these rules with their durations and bounds. It relies on the conclusions that
+// package result attaches to result codes (result.Conclusion). Package retrybudget counts
+// the remaining retries. The plug-ins routing and retry collect the input, query the
+// budgets and carry out the decisions. The package does no I/O, reads no clock and keeps
+// no state.
 package retry
 
 import (
@@ -16,63 +17,64 @@
 )
 
 const (
-	// MaximumOffers bounds the nodes that one call is offered to in a round where a
-	// refused offer is free, so that a full service is not asked node by node.
+	// MaximumOffers bounds the nodes that a call is offered to in one round when refused
+	// offers are free, so that a call to an overloaded service does not try every node.
 	MaximumOffers = 3
 	// AbsencePause is the time between two rounds of offers of a call while nodes are
-	// not there. One that is started again is back within a second, and gossip tells of
-	// it within some hundred milliseconds.
+	// absent, for example while they restart.
 	AbsencePause = 50 * time.Millisecond
-	// LeastTimeElsewhere is the time that must be left for another node to be tried
-	// after one whose back end was too slow for the time left. Calls of a few hops need
-	// some milliseconds on the way alone.
-	LeastTimeElsewhere = 20 * time.Millisecond
+	// MinimumTimeElsewhere is the time until the deadline that must be left to try another
+	// node after one whose back end was too slow for the time left. Calls of a few hops
+	// spend some milliseconds in transit alone.
+	MinimumTimeElsewhere = 20 * time.Millisecond
 )
 
-// Situation is what is known when an attempt has ended.
+// Situation is the input of Decide: the state of a call when an attempt has ended.
 type Situation struct {
-	// Status is the HTTP status of the answer of the back end, 0 when Err is set.
+	// Status is the HTTP status of the back end's answer, 0 if Err is set.
 	Status int
-	// Err is how an attempt without an answer ended, nil when there is one.
+	// Err is the result of an attempt without an answer, nil if there was an answer.
 	Err *result.Error
 
-	// Repeatable says that the request may run twice.
+	// Repeatable reports that the request may run twice.
 	Repeatable bool
-	// Claims says that a request which may not run twice is claimed by its key, so that
+	// Claims reports that a request which must not run twice is claimed by its key, so that
 	// another attempt gets the answer of the first one.
 	Claims bool
-	// Committed says that other services have worked for the user request, so that their
-	// work is lost with the call.
+	// Committed reports that the call has upstream work: other services have already done
+	// work for the user request, which is wasted if the call fails.
 	Committed bool
-	// Sendable says that the body can be sent again and the caller still waits.
+	// Sendable reports that the body can be sent again and the caller is still waiting.
 	Sendable bool
 	// Left is the time until the deadline of the call.
 	Left time.Duration
 
-	// SharedBudget says that one retry budget bounds what all processes send to the back
-	// ends of a service. An offer that does not arrive at a back end is free then.
-	// Otherwise the retries of a user request are bounded over its whole call graph, and
-	// each attempt after the first is one.
+	// SharedBudget reports that one retry budget bounds the retries of all processes to
+	// the back ends of a service. Only attempts that may have arrived at a back end count
+	// against it. Without it, the retries of a user request are bounded over its whole call
+	// graph, and each attempt after the first counts.
 	SharedBudget bool
-	// Offers is the number of attempts of this round, with the one that ended.
+	// Offers is the number of attempts in this round, including the one that ended.
 	Offers int
-	// Absent says that a node of this round was absent, in this attempt or an earlier one.
+	// Absent reports that a node was absent in this round, in this attempt or an earlier
+	// one.
 	Absent bool
 	// Arrivals is the number of earlier attempts that may have arrived at a back end.
 	Arrivals int
-	// MaximumArrivals bounds them for this call, 0: it does not.
+	// MaximumArrivals is the maximum number of attempts of this call that may arrive at a
+	// back end, 0 for no maximum.
 	MaximumArrivals int
 }
 
-// Decision is what follows the end of an attempt.
+// Decision is the result of Decide.
 type Decision struct {
-	// Send says that the call goes to another node at once, when Paid is false or the
-	// budgets have a retry left.
+	// Send reports that the call goes to another node at once. If Paid is set, this takes a
+	// retry from the budgets, and the call is not sent if none is left.
 	Send bool
 	Paid bool
-	// Arrived says that the attempt counts as one that arrived at a back end.
+	// Arrived reports that the attempt counts as one that arrived at a back end.
 	Arrived bool
-	// Pause says that a call which is not sent at once begins a new round of offers
+	// Pause reports that a call which is not sent at once begins a new round of offers
 	// after AbsencePause.
 	Pause bool
 }
@@ -102,9 +104,9 @@
 
 // maySend reports whether another attempt is safe and may end better.
 //
-// A request that may not run twice is sent again only when its attempt did not run,
-// or, with claims, when the error came from the way there. An answer of the back end
-// itself is final for it.
+// A request that must not run twice is sent again only if its attempt did not run or, with
+// claims, if the attempt ended without an answer. An answer of the back end is final for
+// such a request.
 func maySend(s Situation) bool {
 	if !s.Sendable {
 		return false
@@ -113,7 +115,7 @@
 	case result.OtherNode:
 		return true
 	case result.FasterNode:
-		return s.Left > LeastTimeElsewhere
+		return s.Left > MinimumTimeElsewhere
 	case result.Unclear:
 		return s.Repeatable || (s.Claims && s.Err != nil)
 	default:
@@ -121,25 +123,26 @@
 	}
 }
 
-// next returns what to expect of another attempt.
+// next returns the expected result of another attempt.
 func next(s Situation) result.Next {
 	if s.Err == nil {
-		return nextAfter(s.Status)
+		return nextAfterStatus(s.Status)
 	}
 	expected := s.Err.Code.Conclusion().Next
 	if s.Err.NotRun() || expected == result.Unclear {
 		return expected
 	}
-	// It may have run at a node that was tried before the one that refused.
+	// The request may have run at a node that was tried before the one that refused.
 	if expected == result.OtherNode {
 		return result.Unclear
 	}
 	return result.Alike
 }
 
-// nextAfter returns what to expect after an answer of the back end. These statuses say
-// that the back end, or one behind it, was overloaded or out of reach.
-func nextAfter(status int) result.Next {
+// nextAfterStatus returns the expected result of another attempt after an answer of the
+// back end. The statuses 502, 503 and 504 mean that the back end, or another one behind it,
+// was overloaded or unreachable.
+func nextAfterStatus(status int) result.Next {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return result.Unclear
@@ -148,17 +151,18 @@
 	}
 }
 
-// arrived reports whether an attempt that may be sent again may have arrived at a back end.
+// arrived reports whether an attempt that may be followed by another one may have arrived
+// at a back end.
 func arrived(s Situation) bool {
 	return next(s) == result.Unclear || s.Err.Code.Conclusion().ByBackEnd
 }
 
-// mayPause reports whether a call that no node has taken may be offered once more after a
-// pause: a node was absent, other services have worked for the user request, there is time,
-// and the offer is free. A call that a back end refused has arrived there, so that it is
-// sent again only when the budgets have a retry left.
+// mayPause reports whether a call that no node accepted may be offered again after a pause:
+// a node was absent, the call has upstream work, enough time is left and the offer is free.
+// A call that a back end refused has arrived there, so that sending it again takes a retry
+// from the budgets.
 func mayPause(s Situation) bool {
 	notTaken := s.Err != nil && s.Err.NotRun() && !s.Err.Code.Conclusion().ByBackEnd
 	return notTaken && s.Absent && s.SharedBudget && s.Committed && s.Sendable &&
-		s.Left > AbsencePause+LeastTimeElsewhere
+		s.Left > AbsencePause+MinimumTimeElsewhere
 }
--- a/retry/timeout.go
+++ b/retry/timeout.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// Bounds of the time until the answer to an attempt begins. Estimates.
 const (
-	// patientLatencies is how many usual latencies of its node an attempt may take.
-	patientLatencies = 8
-	// LeastTimeout is the least for a request that may run twice.
+	// timeoutLatencies multiplies the usual latency of a node to get the timeout of an
+	// attempt.
+	timeoutLatencies = 8
+	// LeastTimeout is the minimum timeout of a request that may run twice.
 	LeastTimeout = 500 * time.Millisecond
-	// leastClaimedTimeout is the least for one that may not: it goes on at its node, and
-	// the next attempt only finds its claim and waits there for the same answer.
-	leastClaimedTimeout = 2 * time.Second
+	// minimumClaimedTimeout is the minimum timeout of a request that must not run twice. It
+	// is longer because the request keeps running at its node; the next attempt would find
+	// its claim and wait for the same answer.
+	minimumClaimedTimeout = 2 * time.Second
 )
 
-// Attempt is what is known of an attempt that is about to be made.
+// Attempt is the input of Timeout: an attempt that is about to be made.
 type Attempt struct {
-	// Repeatable says that the request may run twice.
+	// Repeatable reports that the request may run twice.
 	Repeatable bool
-	// Retriable says that another attempt could follow: its body can be sent again, its
+	// Retriable reports that another attempt could follow: the body can be sent again, the
 	// user request has a retry left, and there is another node.
 	Retriable bool
-	// SharedBudget is that of Situation.
+	// SharedBudget is Situation.SharedBudget.
 	SharedBudget bool
-	// Latency is the usual latency of the node, 0 when it is not known.
+	// Latency is the usual latency of the node, 0 if unknown.
 	Latency time.Duration
 	// Left is the time until the deadline of the call.
 	Left time.Duration
 }
 
 // Timeout returns the time within which the answer to an attempt must begin, so that a
-// node that hangs leaves time for another. bounded is false when the attempt may last as
-// long as its call.
+// node that hangs leaves time for another attempt. bounded is false if the attempt may last
+// as long as its call.
 //
-// Where all processes share a retry budget, there may be none left for the next attempt,
-// and what the back end has worked would be lost: silence is no reason to end an attempt
-// there. Connections that are cut end by themselves.
+// With a shared retry budget, attempts have no timeout: no retry may be left, and ending
+// the attempt would waste the work of the back end. Broken connections still end an
+// attempt.
 func Timeout(a Attempt) (limit time.Duration, bounded bool) {
 	if a.SharedBudget || !a.Retriable {
 		return 0, false
 	}
-	least := LeastTimeout
+	minimum := LeastTimeout
 	if !a.Repeatable {
-		least = leastClaimedTimeout
+		minimum = minimumClaimedTimeout
 	}
-	return min(a.Left, max(patientLatencies*a.Latency, least)), true
+	return min(a.Left, max(timeoutLatencies*a.Latency, minimum)), true
 }
--- a/retry/timeout_test.go
+++ b/retry/timeout_test.go
@@ -15,13 +15,13 @@
 		limit   time.Duration
 		bounded bool
 	}{
-		{"nothing is known of the node", Attempt{Repeatable: true, Retriable: true, Left: minute}, LeastTimeout, true},
-		{"a fast node", Attempt{Repeatable: true, Retriable: true, Latency: time.Millisecond, Left: minute}, LeastTimeout, true},
-		{"a slow node", Attempt{Repeatable: true, Retriable: true, Latency: time.Second, Left: minute}, 8 * time.Second, true},
+		{"node with unknown latency", Attempt{Repeatable: true, Retriable: true, Left: minute}, LeastTimeout, true},
+		{"fast node", Attempt{Repeatable: true, Retriable: true, Latency: time.Millisecond, Left: minute}, LeastTimeout, true},
+		{"slow node", Attempt{Repeatable: true, Retriable: true, Latency: time.Second, Left: minute}, 8 * time.Second, true},
 		{"little time left", Attempt{Repeatable: true, Retriable: true, Left: time.Millisecond}, time.Millisecond, true},
-		{"claimed", Attempt{Retriable: true, Left: minute}, leastClaimedTimeout, true},
-		{"no other attempt could follow", Attempt{Repeatable: true, Left: minute}, 0, false},
-		{"the budget is shared", Attempt{Repeatable: true, Retriable: true, SharedBudget: true, Left: minute}, 0, false},
+		{"claimed", Attempt{Retriable: true, Left: minute}, minimumClaimedTimeout, true},
+		{"not retriable", Attempt{Repeatable: true, Left: minute}, 0, false},
+		{"shared budget", Attempt{Repeatable: true, Retriable: true, SharedBudget: true, Left: minute}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
