--- a/retrybudget/account.go
+++ b/retrybudget/account.go
@@ -2,21 +2,20 @@
 
 import "sync"
 
-// Account holds the retries that one process may still spend for one user
-// request. It may be used by several goroutines.
+// Account holds the retries that one process may still make for one user request. It is
+// safe for concurrent use.
 type Account struct {
 	mutex  sync.Mutex
 	left   int
 	closed bool
 }
 
-// Open returns an Account with the given number of retries. A negative number
-// counts as 0.
+// Open returns an Account with a number of retries. A negative number counts as 0.
 func Open(retries int) *Account {
 	return &Account{left: max(retries, 0)}
 }
 
-// Spend takes one retry and reports whether there was one.
+// Spend takes one retry and reports whether one was left.
 func (a *Account) Spend() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -27,41 +26,41 @@
 	return true
 }
 
-// Lend takes the part of the account that goes along with one call: half of
-// what is left, rounded up, so that the deepest of a chain of calls still gets
-// one and parallel calls each get a share.
+// Lend takes the retries to delegate to one downstream call and returns their number. It is
+// half of the remaining retries, rounded up, so that even the last call of a long chain gets
+// one, and parallel calls share the rest.
 func (a *Account) Lend() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.closed {
 		return 0
 	}
-	loan := (a.left + 1) / 2
-	a.left -= loan
-	return loan
+	allowance := (a.left + 1) / 2
+	a.left -= allowance
+	return allowance
 }
 
-// Repay puts back what was not spent of a loan. unspent is cut to the range 0
-// to loan, so that a callee cannot create retries. After Close it does nothing:
-// what comes back late is lost.
-func (a *Account) Repay(loan, unspent int) {
+// Repay puts back the unused retries of an allowance. unused is clamped to the range 0 to
+// allowance, so that a callee cannot create retries. After Close it does nothing, and
+// retries that are returned late are lost.
+func (a *Account) Repay(allowance, unused int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.closed {
 		return
 	}
-	a.left += min(max(unspent, 0), loan)
+	a.left += min(max(unused, 0), allowance)
 }
 
-// Left returns the number of retries that are left.
+// Left returns the number of remaining retries.
 func (a *Account) Left() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.left
 }
 
-// Close ends the account and returns what is left, to be repaid to the caller.
-// Later calls return 0.
+// Close closes the account and returns the number of unused retries, which the answer
+// returns to the caller. Further calls of Close return 0.
 func (a *Account) Close() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -69,7 +68,7 @@
 		return 0
 	}
 	a.closed = true
-	unspent := a.left
+	unused := a.left
 	a.left = 0
-	return unspent
+	return unused
 }
--- a/retrybudget/account_test.go
+++ b/retrybudget/account_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// The random cases are the same in every run, so that the verdict is too. More
-// are tried with -rapid.seed=0 -rapid.checks=N.
+// The seed is fixed, so that results are reproducible. Use -rapid.seed=0 -rapid.checks=N
+// to test other cases.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
@@ -25,15 +25,15 @@
 		steps func(*Account)
 		left  int
 	}{
-		{"negative grant is none", -1, func(*Account) {}, 0},
+		{"negative grant counts as 0", -1, func(*Account) {}, 0},
 		{"spend", 2, func(a *Account) { a.Spend() }, 1},
-		{"spend more than there is", 1, func(a *Account) { a.Spend(); a.Spend() }, 0},
-		{"lend half rounded up", 3, func(a *Account) { a.Lend() }, 1},
-		{"the last one is lent", 1, func(a *Account) { a.Lend() }, 0},
-		{"repay", 3, func(a *Account) { a.Repay(a.Lend(), 2) }, 3},
-		{"repay more than lent", 3, func(a *Account) { a.Repay(a.Lend(), 99) }, 3},
-		{"repay less than nothing", 3, func(a *Account) { a.Repay(a.Lend(), -5) }, 1},
-		{"repay after close is lost", 3, func(a *Account) { l := a.Lend(); a.Close(); a.Repay(l, l) }, 0},
+		{"spend more than the grant", 1, func(a *Account) { a.Spend(); a.Spend() }, 0},
+		{"delegate half, rounded up", 3, func(a *Account) { a.Lend() }, 1},
+		{"delegate the last one", 1, func(a *Account) { a.Lend() }, 0},
+		{"return unused", 3, func(a *Account) { a.Repay(a.Lend(), 2) }, 3},
+		{"return more than delegated", 3, func(a *Account) { a.Repay(a.Lend(), 99) }, 3},
+		{"return a negative number", 3, func(a *Account) { a.Repay(a.Lend(), -5) }, 1},
+		{"return after close", 3, func(a *Account) { l := a.Lend(); a.Close(); a.Repay(l, l) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestCloseReturnsTheRestOnce(t *testing.T) {
+func TestCloseReturnsUnusedRetriesOnce(t *testing.T) {
 	is := is.New(t)
 	account := Open(4)
 	is.Equal(account.Close(), 4)
@@ -54,8 +54,8 @@
 	is.Equal(account.Lend(), 0)
 }
 
-// graph plays a user request through a random call graph in which calls fail
-// and answers are lost at random. It counts all retries that are made.
+// graph runs a user request through a random call graph in which calls fail and answers
+// are lost at random. It counts the retries.
 type graph struct {
 	t       *rapid.T
 	retries int
@@ -64,9 +64,9 @@
 
 const maximumCalls = 4000 // bounds the time of one random graph
 
-// run is one execution of a service at the given depth.
-func (g *graph) run(loan, depth int) (unspent int, ok bool) {
-	account := Open(loan)
+// run simulates one execution of a service, with up to depth levels of calls below it.
+func (g *graph) run(allowance, depth int) (unused int, ok bool) {
+	account := Open(allowance)
 	g.calls++
 	ok = rapid.Bool().Draw(g.t, "ok")
 	children := rapid.IntRange(0, 3).Draw(g.t, "children")
@@ -79,14 +79,14 @@
 	return account.Close(), ok
 }
 
-// call makes one call with retries, as a node does for its back end.
+// call simulates one call with retries, as a node makes it for its back end.
 func (g *graph) call(account *Account, depth int) bool {
 	for {
-		loan := account.Lend()
-		unspent, ok := g.run(loan, depth)
+		allowance := account.Lend()
+		unused, ok := g.run(allowance, depth)
 		answerLost := rapid.IntRange(0, 3).Draw(g.t, "lost") == 0
 		if !answerLost {
-			account.Repay(loan, unspent)
+			account.Repay(allowance, unused)
 		}
 		if ok && !answerLost {
 			return true
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestRetriesStayWithinTheGrantInAnyCallGraph(t *testing.T) {
+func TestRetriesStayWithinGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grant := rapid.IntRange(0, 8).Draw(t, "grant")
 		depth := rapid.IntRange(1, 6).Draw(t, "depth")
@@ -110,18 +110,17 @@
 	})
 }
 
-// countRetries plays the worst case, in which everything fails and no answer
-// is lost.
+// countRetries simulates the worst case, in which every call fails and no answer is lost.
 func countRetries(account *Account, depth, width int, retries *int) {
 	for {
-		loan := account.Lend()
-		callee := Open(loan)
+		allowance := account.Lend()
+		callee := Open(allowance)
 		if depth > 1 {
 			for range width {
 				countRetries(callee, depth-1, width, retries)
 			}
 		}
-		account.Repay(loan, callee.Close())
+		account.Repay(allowance, callee.Close())
 		if !account.Spend() {
 			return
 		}
@@ -129,7 +128,7 @@
 	}
 }
 
-func TestRetriesInDeepAndWideGraphsWhereEverythingFails(t *testing.T) {
+func TestGrantIsUsedUpWhenEverythingFails(t *testing.T) {
 	cases := []struct{ grant, depth, width int }{
 		{3, 21, 1}, {32, 21, 1}, {3, 4, 8}, {8, 5, 8}, {0, 21, 1},
 	}
@@ -138,7 +137,7 @@
 			is := is.New(t)
 			retries := 0
 			countRetries(Open(c.grant), c.depth, c.width, &retries)
-			is.Equal(retries, c.grant) // all of the grant is used and no more
+			is.Equal(retries, c.grant) // the grant is used up and not exceeded
 		})
 	}
 }
@@ -162,11 +161,11 @@
 
 func ExampleAccount() {
 	gateway := Open(3)
-	loan := gateway.Lend() // goes along with the call
-	callee := Open(loan)   // in the process that serves the call
-	callee.Spend()         // it makes one retry of a call of its own
-	unspent := callee.Close()
-	gateway.Repay(loan, unspent)
-	fmt.Println(loan, unspent, gateway.Left())
+	allowance := gateway.Lend() // sent with the call
+	callee := Open(allowance)   // in the process that serves the call
+	callee.Spend()              // one retry of a call that the callee makes
+	unused := callee.Close()
+	gateway.Repay(allowance, unused)
+	fmt.Println(allowance, unused, gateway.Left())
 	// Output: 2 1 2
 }
--- a/retrybudget/ratio.go
+++ b/retrybudget/ratio.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Ratio bounds retries to one target as a share of the calls to it, so that a
-// failing target is not sent a multiple of its load. It is a token bucket that
-// each call fills by the ratio and each retry empties by one. It is not safe
-// for concurrent use.
+// Ratio bounds the retries to one service as a share of the calls to it, so that retries
+// don't multiply the load of a failing service. It is a token bucket: each call adds the
+// ratio, each retry takes one token. Ratio is not safe for concurrent use.
 type Ratio struct {
-	tokens float64
-	last   time.Time
+	tokens   float64
+	filledAt time.Time
 }
 
-// Bounds of the bucket of Ratio. Estimates: a process that makes few calls can still try
-// some again.
 const (
-	ratioBurst   = 10.0 // retries that may be made at once
-	ratioMinimum = 1.0  // tokens a second at any rate of calls
+	// ratioBurst is the capacity of the bucket.
+	ratioBurst = 10.0
+	// ratioMinimum is the number of tokens added per second at any rate of calls, so that
+	// a process with few calls can still retry some.
+	ratioMinimum = 1.0
 )
 
 // NewRatio returns a Ratio with a full bucket.
 func NewRatio(now time.Time) *Ratio {
-	return &Ratio{tokens: ratioBurst, last: now}
+	return &Ratio{tokens: ratioBurst, filledAt: now}
 }
 
-// Call records one first attempt.
+// Call records the first attempt of a call.
 func (r *Ratio) Call(now time.Time, ratio float64) {
 	r.fill(now)
 	r.tokens = min(r.tokens+ratio, ratioBurst)
 }
 
-// Retry takes one token and reports whether there was one.
+// Retry takes one token and reports whether one was left.
 func (r *Ratio) Retry(now time.Time) bool {
 	r.fill(now)
 	if r.tokens < 1 {
@@ -40,9 +40,9 @@
 }
 
 func (r *Ratio) fill(now time.Time) {
-	elapsed := now.Sub(r.last).Seconds()
+	elapsed := now.Sub(r.filledAt).Seconds()
 	if elapsed > 0 {
 		r.tokens = min(r.tokens+elapsed*ratioMinimum, ratioBurst)
-		r.last = now
+		r.filledAt = now
 	}
 }
--- a/retrybudget/shared_test.go
+++ b/retrybudget/shared_test.go
@@ -10,9 +10,9 @@
 
 var sharedStart = time.Unix(1000, 0)
 
-// TestSharedKeepsTheCommonBoundInEveryWindow plays processes that always want to
-// repeat, with requests that come and go, and looks at every span of a window.
-func TestSharedKeepsTheCommonBoundInEveryWindow(t *testing.T) {
+// TestSharedKeepsCommonBound runs processes that retry as often as allowed under varying
+// load, and checks every span of the length of a window.
+func TestSharedKeepsCommonBound(t *testing.T) {
 	const (
 		processes = 12
 		step      = 100 * time.Millisecond
@@ -26,12 +26,12 @@
 		for i := range shares {
 			shares[i] = NewShared(config, sharedStart)
 		}
-		requests, repeats := make([]int, steps), make([]int, steps)
+		requests, retries := make([]int, steps), make([]int, steps)
 		for at := range steps {
 			now := sharedStart.Add(time.Duration(at) * step)
 			load := []int{0, 1, 8}[at/100%3]
 			for i, share := range shares {
-				if random.IntN(200) == 0 { // killed and started again
+				if random.IntN(200) == 0 { // the process crashes and restarts
 					shares[i] = NewShared(config, now)
 					share = shares[i]
 				}
@@ -40,17 +40,17 @@
 					requests[at]++
 				}
 				for share.Spend(now, processes, 1) {
-					repeats[at]++
+					retries[at]++
 				}
 			}
 		}
 		is := is.New(t)
 		for end := perWindow; end <= steps; end++ {
-			asked, repeated := sum(requests[end-perWindow:end]), sum(repeats[end-perWindow:end])
+			requested, retried := sum(requests[end-perWindow:end]), sum(retries[end-perWindow:end])
 			before := sum(requests[max(end-2*perWindow, 0) : end-perWindow])
 			half := sum(requests[max(end-perWindow*3/2, 0) : end-perWindow/2])
-			bound := config.Ratio*float64(max(asked, before, half)) + float64(config.Slack)
-			is.True(float64(repeated) <= bound) // the rule of the window that ends here
+			bound := config.Ratio*float64(max(requested, before, half)) + float64(config.Slack)
+			is.True(float64(retried) <= bound) // the bound of the window that ends here
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	return total
 }
 
-func TestSharedIsNotStarved(t *testing.T) {
+func TestSharedAllowsItsShare(t *testing.T) {
 	is := is.New(t)
 	share := NewShared(SharedConfig{Ratio: 0.2, Slack: 24, Window: 10 * time.Second}, sharedStart)
 	for range 100 {
@@ -73,14 +73,14 @@
 	for share.Spend(sharedStart, 12, 1) {
 		spent++
 	}
-	is.Equal(spent, 14) // of the requests alone: it has just started
+	is.Equal(spent, 14) // from the ratio alone, in the first window
 	later := sharedStart.Add(time.Minute)
 	for spent = 0; share.Spend(later, 12, 1); spent++ {
 	}
-	is.Equal(spent, 2) // of the slack alone: there were no requests
+	is.Equal(spent, 2) // from the slack alone, without requests
 }
 
-func TestRepeatsThatCannotBeRefusedCount(t *testing.T) {
+func TestUnconditionalRetriesCount(t *testing.T) {
 	is := is.New(t)
 	share := NewShared(SharedConfig{Ratio: 1, Window: 10 * time.Second}, sharedStart)
 	for range 10 {
@@ -91,9 +91,9 @@
 	is.True(!share.Spend(sharedStart.Add(5*time.Second), 1, 1))
 }
 
-// TestTheUrgentSpendFirst: what is open to all is spent by whoever asks first, the rest
-// by rank, and a budget of one is open to all.
-func TestTheUrgentSpendFirst(t *testing.T) {
+// TestHigherRanksSpendMore checks that every rank may use a share of the budget, higher
+// ranks more of it, and any rank a budget of one retry.
+func TestHigherRanksSpendMore(t *testing.T) {
 	spend := func(requests int, rank float64) (spent int) {
 		share := NewShared(SharedConfig{Ratio: 1, Window: 10 * time.Second}, sharedStart)
 		for range requests {
@@ -112,7 +112,7 @@
 		{100, 1, 70}, {100, 0.5, 52}, {100, 0, 35}, {100, -3, 35}, {100, 7, 70}, {2, 0, 1}, {0, 1, 0},
 	} {
 		if got := spend(c.requests, c.rank); got != c.want {
-			t.Errorf("%d requests allow %d repeats at rank %.1f, not %d", c.requests, c.want, c.rank, got)
+			t.Errorf("%d requests: want %d retries at rank %.1f, got %d", c.requests, c.want, c.rank, got)
 		}
 	}
 }
