--- a/admission/level.go
+++ b/admission/level.go
@@ -106,8 +106,8 @@
 	l.fall(freeShare, windows)
 }
 
-// raise sets the level to the lowest one above which the arrivals fit. delayed reports
-// that the queue is too long.
+// raise sets the level to the lowest one above which the arrivals fit, but not above
+// criticalLevel while the highest class fits. delayed reports that the queue is too long.
 func (l *levelControl) raise(delayed bool) {
 	fits := l.served * headroom
 	if delayed {
@@ -141,7 +141,7 @@
 	l.servedSlowAverage += slowWeight * (float64(l.starts) - l.servedSlowAverage)
 }
 
-// fall lowers the level by a number of windows.
+// fall lowers the level by one step per window.
 func (l *levelControl) fall(freeShare float64, windows int) {
 	step := fallStep
 	if freeShare >= idleFreeShare {
--- a/balance/faults.go
+++ b/balance/faults.go
@@ -24,8 +24,8 @@
 	// node gets calls that must not be repeated. One lost answer in about thirty may be
 	// chance.
 	reliableMargin = 0.03
-	// reliableLoad is the load from which on a node gets no additional calls because of
-	// its reliability.
+	// reliableLoad is the load from which on a node is too full to take over calls from
+	// less reliable nodes.
 	reliableLoad = fullLoad
 )
 
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// resetFailures ends a series of failures or an ejection after the node has responded.
+// resetFailures ends a series of failures, and an ejection, after the node has responded.
 func (b *Balancer) resetFailures(s *nodeState) {
 	s.failures = 0
 	if s.ejections > 0 {
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -17,8 +17,8 @@
 	fullyLocalLoad = 0.6
 	fullLoad       = 0.85
 	// maximumFaults and maximumRefusals are the shares of failed and refused calls from
-	// which on a node is not healthy. One failure among the last calls (smoothing) is below
-	// maximumFaults, two are not.
+	// which on a node is not healthy. One recent failed call stays below maximumFaults, two
+	// do not (smoothing).
 	maximumFaults   = 0.15
 	maximumRefusals = 0.15
 	// maximumSlowdown is the ratio to the latency of a fast node up to which a node is
@@ -41,7 +41,7 @@
 	return min(max((fullLoad-load)/(fullLoad-fullyLocalLoad), 0), maximumLocalShare)
 }
 
-// randomParts is the resolution of a random decision by share.
+// randomParts is the resolution of random numbers that are compared with a share.
 const randomParts = 1000
 
 // zoneCandidates returns the healthy candidates of the local zone if the call should stay
@@ -75,8 +75,8 @@
 }
 
 // healthy reports whether a node may keep the calls of its zone: it has reported its load,
-// hardly fails or refuses calls, and is not far slower than a fast node. A new node has
-// not reported its load yet, so that calls are spread over all nodes.
+// hardly fails or refuses calls, and is not far slower than a fast node. A new node does
+// not count as healthy before it has reported its load.
 func (b *Balancer) healthy(now time.Time, s *nodeState, fast float64) bool {
 	return s.loadKnown &&
 		b.faultsOf(now, s) < maximumFaults &&
--- a/retrybudget/shared.go
+++ b/retrybudget/shared.go
@@ -68,8 +68,8 @@
 // Repeat records a retry that was made regardless of the bound.
 func (s *Shared) Repeat(now time.Time) { s.sliceAt(now).retries++ }
 
-// usedRatio is the share of the ratio that is used. The rest allows for processes that
-// count the same requests in different windows.
+// usedRatio is the share of the ratio that is used. The rest allows for differences between
+// the windows of the processes.
 const usedRatio = 0.7
 
 // roundingTolerance makes up for rounding errors in the bound.
--- a/retrybudget/shared_test.go
+++ b/retrybudget/shared_test.go
@@ -63,7 +63,7 @@
 	return total
 }
 
-func TestSharedAllowsItsShare(t *testing.T) {
+func TestSharedAllowsRatioAndSlack(t *testing.T) {
 	is := is.New(t)
 	share := NewShared(SharedConfig{Ratio: 0.2, Slack: 24, Window: 10 * time.Second}, sharedStart)
 	for range 100 {
