--- a/admission/limit.go
+++ b/admission/limit.go
@@ -75,7 +75,7 @@
 	baselineFall = 0.1
 	baselineDrop = 0.5
 	baselineRise = 0.05
-	// maximumWindow bounds the length of a window of a slow back end.
+	// maximumWindow bounds the length of the window of a slow back end (openWindow).
 	maximumWindow = 5 * time.Second
 )
 
