--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-var epoch = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 const retention = time.Minute
 
@@ -34,7 +34,7 @@
 	return Claim{Key: NewKey(key), Run: run, Runner: process("runner")}
 }
 
-func TestReplicaAnswers(t *testing.T) {
+func TestReplicaVerdicts(t *testing.T) {
 	first := document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")})
 	second := document(2, Group{Epoch: 2, Replicas: processes("a", "b", "d"), Previous: processes("a", "b", "c")})
 	cases := []struct {
@@ -45,32 +45,32 @@
 		want    Verdict
 	}{
 		{"a free key", func(*Replica) {}, 1, 0, Granted},
-		{"a key held by another run", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("k", "other")) }, 1, 0, Held},
-		{"the same run again", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("k", "run")) }, 1, 0, Granted},
-		{"another key is held", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("other", "other")) }, 1, 0, Granted},
-		{"after the retention time", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("k", "other")) }, 1, retention + 1, Granted},
-		{"shortly before it", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("k", "other")) }, 1, retention - 1, Held},
-		{"after a withdrawal", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("k", "other")); r.Withdraw(0, NewKey("k"), "other") }, 1, 0, Granted},
-		{"after a withdrawal of another run", func(r *Replica) { r.Ask(epoch, 0, 1, claimOf("k", "other")); r.Withdraw(0, NewKey("k"), "run") }, 1, 0, Held},
-		{"an epoch that is not known", func(*Replica) {}, 2, 0, Behind},
-		{"an epoch that is over", func(r *Replica) { r.Adopt(epoch, second) }, 1, 0, Stale},
-		{"while claims are collected", func(r *Replica) { r.Adopt(epoch, second) }, 2, 0, Syncing},
-		{"after they were collected", func(r *Replica) {
-			r.Adopt(epoch, second)
-			r.TakeOver(epoch, Fetch{From: process("b"), Epoch: 2}, nil)
+		{"a key held by another run", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")) }, 1, 0, Held},
+		{"the same run again", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "run")) }, 1, 0, Granted},
+		{"another key held", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("other", "other")) }, 1, 0, Granted},
+		{"after the retention time", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")) }, 1, retention + 1, Granted},
+		{"shortly before the retention time", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")) }, 1, retention - 1, Held},
+		{"after a withdrawal", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")); r.Withdraw(0, NewKey("k"), "other") }, 1, 0, Granted},
+		{"after a withdrawal of another run", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")); r.Withdraw(0, NewKey("k"), "run") }, 1, 0, Held},
+		{"an unknown epoch", func(*Replica) {}, 2, 0, Behind},
+		{"an epoch that has ended", func(r *Replica) { r.Adopt(startTime, second) }, 1, 0, Stale},
+		{"while collecting claims", func(r *Replica) { r.Adopt(startTime, second) }, 2, 0, Syncing},
+		{"after collecting claims", func(r *Replica) {
+			r.Adopt(startTime, second)
+			r.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, nil)
 		}, 2, 0, Granted},
-		{"a claim that was collected", func(r *Replica) {
-			r.Adopt(epoch, second)
-			r.TakeOver(epoch, Fetch{From: process("b"), Epoch: 2}, []Transferred{{Claim: claimOf("k", "other"), Left: retention}})
+		{"a collected claim", func(r *Replica) {
+			r.Adopt(startTime, second)
+			r.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, []Transferred{{Claim: claimOf("k", "other"), Left: retention}})
 		}, 2, 0, Held},
 		{"full", func(r *Replica) {
 			for i := range 100 {
-				r.Ask(epoch, 0, 1, claimOf(fmt.Sprint(i), "other"))
+				r.Ask(startTime, 0, 1, claimOf(fmt.Sprint(i), "other"))
 			}
 		}, 1, 0, Full},
 		{"full, after the retention time", func(r *Replica) {
 			for i := range 100 {
-				r.Ask(epoch, 0, 1, claimOf(fmt.Sprint(i), "other"))
+				r.Ask(startTime, 0, 1, claimOf(fmt.Sprint(i), "other"))
 			}
 		}, 1, retention + 1, Granted},
 	}
@@ -78,80 +78,82 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			replica := newReplica("a")
-			replica.Adopt(epoch, first)
+			replica.Adopt(startTime, first)
 			c.prepare(replica)
-			is.Equal(replica.Ask(epoch.Add(c.at), 0, c.epoch, claimOf("k", "run")).Verdict, c.want)
+			is.Equal(replica.Ask(startTime.Add(c.at), 0, c.epoch, claimOf("k", "run")).Verdict, c.want)
 		})
 	}
 }
 
-func TestResetWaitsForTheRetentionTime(t *testing.T) {
+func TestResetWaitsForRetentionTime(t *testing.T) {
 	is := is.New(t)
 	replica := newReplica("d")
-	replica.Adopt(epoch, document(5, Group{Epoch: 3, Replicas: processes("d", "e", "f"), Reset: true}))
-	is.Equal(replica.Ask(epoch, 0, 3, claimOf("k", "run")).Verdict, Syncing)
-	is.Equal(replica.Ask(epoch.Add(retention), 0, 3, claimOf("k", "run")).Verdict, Granted)
+	replica.Adopt(startTime, document(5, Group{Epoch: 3, Replicas: processes("d", "e", "f"), Reset: true}))
+	is.Equal(replica.Ask(startTime, 0, 3, claimOf("k", "run")).Verdict, Syncing)
+	is.Equal(replica.Ask(startTime.Add(retention), 0, 3, claimOf("k", "run")).Verdict, Granted)
 }
 
-func TestHandOverOnlyFromVotersThatAreFenced(t *testing.T) {
+// A replica hands over claims only once it is fenced at the new epoch and if it voted at
+// the previous one: otherwise a decided claim could be missing.
+func TestHandOverRequiresFencedVoter(t *testing.T) {
 	is := is.New(t)
 	voter, newcomer := newReplica("a"), newReplica("d")
 	first := document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")})
 	second := document(2, Group{Epoch: 2, Replicas: processes("a", "b", "d"), Previous: processes("a", "b", "c")})
-	voter.Adopt(epoch, first)
-	_, ok := voter.HandOver(epoch, 0, 2)
-	is.True(!ok) // not fenced yet
-	voter.Adopt(epoch, second)
-	_, ok = voter.HandOver(epoch, 0, 2)
+	voter.Adopt(startTime, first)
+	_, ok := voter.HandOver(startTime, 0, 2)
+	is.True(!ok) // handed over claims before it was fenced
+	voter.Adopt(startTime, second)
+	_, ok = voter.HandOver(startTime, 0, 2)
 	is.True(ok)
-	newcomer.Adopt(epoch, second)
-	_, ok = newcomer.HandOver(epoch, 0, 2)
-	is.True(!ok) // never voted at epoch 1
+	newcomer.Adopt(startTime, second)
+	_, ok = newcomer.HandOver(startTime, 0, 2)
+	is.True(!ok) // handed over claims without having voted at epoch 1
 }
 
-// TestAnAbandonedRunDoesNotHideAnother: a replica that holds an abandoned run is
-// told of another one that may have won the key.
-func TestAnAbandonedRunDoesNotHideAnother(t *testing.T) {
+// A claim that replaces an abandoned run must not replace another run that was transferred
+// for the same key and may have won it.
+func TestAbandonedRunDoesNotHideWinner(t *testing.T) {
 	is := is.New(t)
 	replica := newReplica("a")
-	replica.Adopt(epoch, document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")}))
-	is.Equal(replica.Ask(epoch, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
-	replica.Adopt(epoch, document(2, Group{Epoch: 2, Replicas: processes("a", "b", "d"), Previous: processes("a", "b", "c")}))
-	replica.TakeOver(epoch, Fetch{From: process("b"), Epoch: 2}, []Transferred{{Claim: claimOf("k", "winner"), Left: retention}})
+	replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")}))
+	is.Equal(replica.Ask(startTime, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
+	replica.Adopt(startTime, document(2, Group{Epoch: 2, Replicas: processes("a", "b", "d"), Previous: processes("a", "b", "c")}))
+	replica.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, []Transferred{{Claim: claimOf("k", "winner"), Left: retention}})
 	again := claimOf("k", "again")
 	again.Abandoned = []string{"abandoned"}
-	is.Equal(replica.Ask(epoch, 0, 2, again).Verdict, Held)
+	is.Equal(replica.Ask(startTime, 0, 2, again).Verdict, Held)
 }
 
-func TestAnAbandonedRunIsReplaced(t *testing.T) {
+func TestAbandonedRunIsReplaced(t *testing.T) {
 	is := is.New(t)
 	replica := newReplica("a")
-	replica.Adopt(epoch, document(1, Group{Epoch: 1, Replicas: processes("a")}))
-	is.Equal(replica.Ask(epoch, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
+	replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a")}))
+	is.Equal(replica.Ask(startTime, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
 	again := claimOf("k", "again")
 	again.Abandoned = []string{"abandoned"}
-	is.Equal(replica.Ask(epoch, 0, 1, again).Verdict, Granted)
-	is.Equal(replica.Ask(epoch, 0, 1, claimOf("k", "other")).Verdict, Held)
+	is.Equal(replica.Ask(startTime, 0, 1, again).Verdict, Granted)
+	is.Equal(replica.Ask(startTime, 0, 1, claimOf("k", "other")).Verdict, Held)
 }
 
-func TestOlderDocumentsAreIgnored(t *testing.T) {
+func TestOlderDocumentIsIgnored(t *testing.T) {
 	is := is.New(t)
 	replica := newReplica("a")
-	is.True(replica.Adopt(epoch, document(2, Group{Epoch: 2, Replicas: processes("a")})))
-	is.True(!replica.Adopt(epoch, document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")})))
+	is.True(replica.Adopt(startTime, document(2, Group{Epoch: 2, Replicas: processes("a")})))
+	is.True(!replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")})))
 	is.Equal(replica.Revision(), uint64(2))
 }
 
-func TestAnswersAreKeptWithinTheirMemory(t *testing.T) {
+func TestAnswerMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	replica := NewReplica(ReplicaConfig{Self: process("a"), Retention: retention, MaximumClaims: 100, MaximumAnswerBytes: 1000})
-	replica.Adopt(epoch, document(1, Group{Epoch: 1, Replicas: processes("a")}))
+	replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a")}))
 	for _, key := range []string{"one", "two"} {
-		replica.Ask(epoch, 0, 1, claimOf(key, key))
+		replica.Ask(startTime, 0, 1, claimOf(key, key))
 		replica.Finish(0, NewKey(key), key, &Answer{Status: 200, Body: make([]byte, 600)})
 	}
-	is.True(replica.Ask(epoch, 0, 1, claimOf("one", "x")).Answer != nil)
-	is.True(replica.Ask(epoch, 0, 1, claimOf("two", "x")).Answer == nil) // no memory left, still held
+	is.True(replica.Ask(startTime, 0, 1, claimOf("one", "x")).Answer != nil)
+	is.True(replica.Ask(startTime, 0, 1, claimOf("two", "x")).Answer == nil) // exceeds MaximumAnswerBytes, so only the claim is held
 }
 
 func TestRound(t *testing.T) {
@@ -163,12 +165,12 @@
 		silent  int
 		want    Decision
 	}{
-		{"nothing yet", nil, 0, Pending},
+		{"no replies", nil, 0, Pending},
 		{"one of three", []Reply{granted}, 0, Pending},
 		{"two of three", []Reply{granted, granted}, 0, Won},
-		{"two of three, one held", []Reply{held, granted, granted}, 0, Won},
+		{"two of three granted, one held", []Reply{held, granted, granted}, 0, Won},
 		{"held by two", []Reply{held, held}, 0, Lost},
-		{"split with a silent one", []Reply{held, granted}, 1, Lost},
+		{"one held, one granted, one silent", []Reply{held, granted}, 1, Lost},
 		{"two silent", []Reply{granted}, 2, Unavailable},
 		{"stale", []Reply{stale, stale}, 0, Outdated},
 		{"syncing", []Reply{syncing, syncing}, 0, Unavailable},
@@ -210,12 +212,12 @@
 		reset      bool
 	}{
 		{"a new mesh", nil, all, true, 1, 0, false},
-		{"nothing to do", current, all, true, 0, 0, false},
+		{"no change needed", current, all, true, 0, 0, false},
 		{"one dead", current, change(func(l []Candidate) { l[0].Alive = false }), true, 1, 0, false},
 		{"one leaving", current, change(func(l []Candidate) { l[0].Leaving = true }), true, 1, 0, false},
-		{"one dead, but the last change has not settled", current, change(func(l []Candidate) { l[0].Alive = false }), false, 0, 0, false},
+		{"one dead, new replicas not voting yet", current, change(func(l []Candidate) { l[0].Alive = false }), false, 0, 0, false},
 		{"two unreachable", current, change(func(l []Candidate) { l[0].Alive, l[1].Alive = false, false }), true, 0, 1, false},
-		{"two gone for certain", current, change(func(l []Candidate) {
+		{"two confirmed gone", current, change(func(l []Candidate) {
 			l[0].Alive, l[1].Alive, l[0].Gone, l[1].Gone = false, false, true, true
 		}), true, 1, 0, true},
 		{"one gone, one unreachable", current, change(func(l []Candidate) {
@@ -245,7 +247,7 @@
 				}
 			}
 			if c.name == "a new mesh" {
-				is.Equal(len(zones), 3) // one in each zone
+				is.Equal(len(zones), 3) // one replica in each zone
 			}
 		})
 	}
--- a/claims/expiry.go
+++ b/claims/expiry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// expiryQueue lists keys in the order of insertion, which is nearly the order
-// of expiry: claims taken over from other replicas may expire somewhat earlier
-// than their place says, which only keeps them longer.
+// expiryQueue holds keys in order of insertion, which is nearly the order of
+// expiry. A claim that was taken over from another replica can be due earlier than
+// the items in front of it; it is then deleted late.
 type expiryQueue struct {
 	items []expiryItem
 	first int
@@ -17,7 +17,7 @@
 
 func (q *expiryQueue) push(item expiryItem) { q.items = append(q.items, item) }
 
-// pop returns the next item that is due.
+// pop removes and returns the first item, or reports false if it is not due yet.
 func (q *expiryQueue) pop(now time.Time) (expiryItem, bool) {
 	if q.first == len(q.items) {
 		q.items, q.first = q.items[:0], 0
--- a/claims/golden_test.go
+++ b/claims/golden_test.go
@@ -9,16 +9,15 @@
 	"github.com/loomcleat/loomcleat/internal/golden"
 )
 
-// TestTheStoredGroups: the document in the store and its key.
-func TestTheStoredGroups(t *testing.T) {
+// The encoding of the document in the store and its key are fixed.
+func TestStoredGroups(t *testing.T) {
 	is := is.New(t)
 	golden.Message[claims.Groups](t, "groups.jsonl")
 	is.Equal(claims.StoreKey, "loomcleat/claim-groups")
 }
 
-// TestKeysOfRequests: processes of two versions must name the same request alike, and
-// find its group alike.
-func TestKeysOfRequests(t *testing.T) {
+// Processes of different versions must derive the same key and group for a request.
+func TestRequestKeys(t *testing.T) {
 	is := is.New(t)
 	key := claims.NewKey("given", "booking", "POST", "/pay", "k-1", "")
 	is.Equal(key.String(), "88280653ed287c140f8489fef7922dab")
--- a/claims/groups.go
+++ b/claims/groups.go
@@ -12,8 +12,8 @@
 // Key identifies a request that may run at most once.
 type Key [16]byte
 
-// NewKey derives a Key from the parts that make requests the same. Each part
-// counts separately.
+// NewKey derives a Key from the parts that identify a request. Parts are delimited:
+// "ab", "c" and "a", "bc" give different keys.
 func NewKey(parts ...string) Key {
 	digest := sha256.New()
 	for _, part := range parts {
@@ -43,42 +43,45 @@
 	return nil
 }
 
-// GroupIndex returns the index of the group of a key among count groups.
+// GroupIndex returns the index of the key's group among count groups.
 func (k Key) GroupIndex(count int) int {
 	return int(binary.BigEndian.Uint64(k[:8]) % uint64(count))
 }
 
-// Process names a process of the mesh.
+// Process identifies a process of the mesh.
 type Process struct {
-	ID      string `json:"id"`
-	Control string `json:"control"` // control address
+	ID string `json:"id"`
+	// Control is the address for control messages.
+	Control string `json:"control"`
 }
 
-// Group is the replicas of one group at one epoch.
+// Group lists the replicas of one group at one epoch.
 type Group struct {
 	Epoch    uint64    `json:"epoch"`
 	Replicas []Process `json:"replicas"`
-	// Previous is the replicas of the epoch before, whose claims must be
-	// collected first. Empty when there are none.
+	// Previous lists the replicas of the previous epoch, whose claims must be
+	// collected before the new replicas vote. Empty at the first epoch and after
+	// a reset.
 	Previous []Process `json:"previous,omitempty"`
-	// Reset says that the claims of earlier epochs are lost, so that replicas
-	// wait for the retention time before they vote.
+	// Reset reports that the claims of earlier epochs are lost, so replicas wait
+	// for the retention time before they vote.
 	Reset bool `json:"reset,omitempty"`
 }
 
-// HasMajority reports whether a number of the group's replicas is a majority.
+// HasMajority reports whether count replicas are a majority of the group.
 func (g Group) HasMajority(count int) bool { return count >= majority(len(g.Replicas)) }
 
 // StoreKey is the key of the Groups document in the store.
 const StoreKey = "loomcleat/claim-groups"
 
-// Groups is the document in the store.
+// Groups is the document in the store that lists all groups.
 type Groups struct {
 	Revision uint64  `json:"revision"`
 	Groups   []Group `json:"groups"`
 }
 
-// DecodeGroups reads a Groups document.
+// DecodeGroups parses a Groups document. It returns a result.PolicyInvalid error
+// if data is not valid JSON.
 func DecodeGroups(data []byte) (*Groups, error) {
 	groups := &Groups{}
 	if err := json.Unmarshal(data, groups); err != nil {
@@ -96,11 +99,11 @@
 	return data, nil
 }
 
-// majority is the least number of n replicas of which any two sets share one.
+// majority returns the smallest size at which any two subsets of n replicas
+// intersect.
 func majority(n int) int { return n/2 + 1 }
 
-// has reports whether a process is among the given ones.
-func has(processes []Process, id string) bool {
+func containsProcess(processes []Process, id string) bool {
 	for _, process := range processes {
 		if process.ID == id {
 			return true
--- a/claims/plan.go
+++ b/claims/plan.go
@@ -7,14 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a process that may hold claims.
+// Candidate is a process that can be a replica.
 type Candidate struct {
 	Process
-	Region  string
-	Zone    string
-	Alive   bool // answers, though it may be leaving
+	Region string
+	Zone   string
+	// Alive reports that the process responds. It may be leaving.
+	Alive   bool
 	Leaving bool
-	Gone    bool // confirmed to have ended, not only unreachable
+	// Gone reports that the process is confirmed to have stopped, not merely
+	// unreachable.
+	Gone bool
 }
 
 // Plan is a change of the Groups document.
@@ -23,22 +26,24 @@
 	// Changed is the number of groups that the plan changes.
 	Changed int
 	// Lost is the number of groups that have no majority left and cannot be
-	// started anew yet, because it is not confirmed that their replicas ended.
+	// reset yet, because their replicas are not confirmed to have stopped.
 	Lost int
 }
 
-// Planner decides which processes form the groups.
+// Planner assigns processes to groups.
 type Planner struct {
-	// Groups is the number of groups of a new mesh.
+	// Groups is the number of groups in a new mesh.
 	Groups int
 	// Replicas is the number of replicas of each group.
 	Replicas int
 	// Voting reports whether a majority of a group votes at its epoch. A group
-	// is changed only then, since the claims are collected from it. May be nil.
+	// changes only then, since the next epoch collects its claims from that
+	// majority. If nil, every group is taken to be voting.
 	Voting func(group int) bool
 }
 
-// Plan returns the groups that suit the candidates. current may be nil.
+// Plan returns the groups for the given candidates. current is the document in
+// the store; nil or without groups, it is a new mesh.
 func (p Planner) Plan(current *Groups, candidates []Candidate) Plan {
 	known := map[string]Candidate{}
 	for _, candidate := range candidates {
@@ -61,14 +66,15 @@
 	return plan
 }
 
-// planGroup returns the next epoch of one group, or the same group.
+// planGroup returns one group at its next epoch, or unchanged. lost reports that
+// it has no majority and cannot be reset yet.
 func (p Planner) planGroup(index int, group Group, known map[string]Candidate, candidates []Candidate) (next Group, changed, lost bool) {
-	wanted := p.choose(index, group, known, candidates)
-	if len(wanted) == 0 || sameProcesses(wanted, group.Replicas) {
+	chosen := p.choose(index, group, known, candidates)
+	if len(chosen) == 0 || sameProcesses(chosen, group.Replicas) {
 		return group, false, false
 	}
 	if group.Epoch == 0 {
-		return Group{Epoch: 1, Replicas: wanted}, true, false
+		return Group{Epoch: 1, Replicas: chosen}, true, false
 	}
 	alive, gone := 0, 0
 	for _, replica := range group.Replicas {
@@ -84,16 +90,16 @@
 		if p.Voting != nil && !p.Voting(index) {
 			return group, false, false
 		}
-		return Group{Epoch: group.Epoch + 1, Replicas: wanted, Previous: group.Replicas}, true, false
+		return Group{Epoch: group.Epoch + 1, Replicas: chosen, Previous: group.Replicas}, true, false
 	case group.HasMajority(gone):
-		return Group{Epoch: group.Epoch + 1, Replicas: wanted, Reset: true}, true, false
+		return Group{Epoch: group.Epoch + 1, Replicas: chosen, Reset: true}, true, false
 	default:
 		return group, false, true
 	}
 }
 
-// choose returns the replicas that a group should have: those it has that are
-// well, then others, in zones that are not taken yet first.
+// choose returns the replicas that a group should have: the current ones that
+// are alive and not leaving, then others, preferably in zones without a replica.
 func (p Planner) choose(index int, group Group, known map[string]Candidate, candidates []Candidate) []Process {
 	chosen := []Candidate{}
 	for _, replica := range group.Replicas {
@@ -103,13 +109,13 @@
 	}
 	pool := []Candidate{}
 	for _, candidate := range candidates {
-		if candidate.Alive && !candidate.Leaving && !has(group.Replicas, candidate.ID) {
+		if candidate.Alive && !candidate.Leaving && !containsProcess(group.Replicas, candidate.ID) {
 			pool = append(pool, candidate)
 		}
 	}
 	sort.Slice(pool, func(i, j int) bool { return Rank(index, pool[i].ID) > Rank(index, pool[j].ID) })
 	for len(chosen) < p.Replicas && len(pool) > 0 {
-		pick := spreadPick(chosen, pool)
+		pick := pickForSpread(chosen, pool)
 		chosen = append(chosen, pool[pick])
 		pool = append(pool[:pick], pool[pick+1:]...)
 	}
@@ -120,9 +126,9 @@
 	return processes
 }
 
-// spreadPick returns the first of pool in the zone, then region, with the
-// fewest chosen.
-func spreadPick(chosen, pool []Candidate) int {
+// pickForSpread returns the index of the first candidate in pool whose zone, then
+// region, has the fewest chosen candidates.
+func pickForSpread(chosen, pool []Candidate) int {
 	best, bestCost := 0, -1
 	for i, candidate := range pool {
 		cost := 0
@@ -141,7 +147,8 @@
 	return best
 }
 
-// Rank orders processes for a group (rendezvous hashing).
+// Rank returns the weight of a process for a group in rendezvous hashing. Higher
+// is preferred.
 func Rank(index int, id string) uint64 {
 	return xxhash.Sum64String(strconv.Itoa(index) + " " + id)
 }
@@ -151,7 +158,7 @@
 		return false
 	}
 	for _, process := range a {
-		if !has(b, process.ID) {
+		if !containsProcess(b, process.ID) {
 			return false
 		}
 	}
--- a/claims/replica.go
+++ b/claims/replica.go
@@ -5,24 +5,27 @@
 	"time"
 )
 
-// Claim is the right of one run to run a request.
+// Claim asks for the exclusive right to run the request with a key.
 type Claim struct {
-	Key         Key     `json:"key"`
-	Fingerprint uint64  `json:"fingerprint"` // of the request, to notice a key used twice
-	Run         string  `json:"run"`         // unique for each attempt to run
-	Runner      Process `json:"runner"`
-	// Abandoned lists earlier runs of the key that, as their runners say, have
-	// not run and never will. The claim takes their place where they are held.
+	Key Key `json:"key"`
+	// Fingerprint is a hash of the request. It detects a key that was used for
+	// two different requests.
+	Fingerprint uint64 `json:"fingerprint"`
+	// Run is unique for each attempt to run the request.
+	Run    string  `json:"run"`
+	Runner Process `json:"runner"`
+	// Abandoned lists earlier runs of the key whose runners reported that they
+	// have not run and never will. The claim replaces theirs.
 	Abandoned []string `json:"abandoned,omitempty"`
 }
 
-// replaces reports whether the claim may take the place of what is held: every
-// run that may have won the key must have been abandoned.
-func (c *Claim) replaces(known *held) bool {
+// replaces reports whether the claim may replace the known one, which requires
+// that every run that may have won the key was abandoned.
+func (c *Claim) replaces(known *heldClaim) bool {
 	if !slices.Contains(c.Abandoned, known.claim.Run) {
 		return false
 	}
-	for _, run := range known.others {
+	for _, run := range known.otherRuns {
 		if !slices.Contains(c.Abandoned, run) {
 			return false
 		}
@@ -30,14 +33,14 @@
 	return true
 }
 
-// Answer is the stored answer of a request that ran.
+// Answer is the stored answer to a request that ran.
 type Answer struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header"`
 	Body   []byte              `json:"body"`
 }
 
-// size is the memory of an answer in bytes, about.
+// size returns the approximate memory use in bytes.
 func (a *Answer) size() int {
 	size := len(a.Body) + 64
 	for name, values := range a.Header {
@@ -49,91 +52,106 @@
 	return size
 }
 
-// Verdict is a replica's answer to a claim.
+// Verdict is the outcome of a claim at one replica.
 type Verdict int
 
-// Verdicts.
+// Verdicts of a replica.
 const (
 	Granted Verdict = iota
-	Held            // another run has the key
-	Stale           // the runner's epoch is old
+	Held            // another run holds the key
+	Stale           // the runner's epoch is older than the replica's
 	Behind          // the replica does not know the epoch yet
 	Syncing         // the replica is still collecting claims
-	Full            // the replica holds as many claims as it may
+	Full            // the replica holds ReplicaConfig.MaximumClaims claims
 )
 
-// Reply is a replica's answer to a claim.
+// Reply is a replica's reply to a claim. Holder and Answer are set only with
+// Held; Answer is nil while the replica has none.
 type Reply struct {
 	Verdict Verdict `json:"verdict"`
-	Holder  *Claim  `json:"holder,omitempty"` // with Held
-	Answer  *Answer `json:"answer,omitempty"` // with Held, when it is known
+	Holder  *Claim  `json:"holder,omitempty"`
+	Answer  *Answer `json:"answer,omitempty"`
 }
 
-// held is a claim as a replica keeps it.
-type held struct {
-	claim   Claim
-	others  []string // runs that hold the key at other replicas, one of which may have won it
-	expires time.Time
-	answer  *Answer
+// heldClaim is a claim that a replica granted or took over.
+type heldClaim struct {
+	claim Claim
+	// Runs that hold the key at other replicas. One of them may have won it.
+	otherRuns []string
+	expires   time.Time
+	answer    *Answer
 }
 
-// groupState is what a process keeps of one group.
+// groupState is the state of one group in this process.
 type groupState struct {
-	group      Group           // the highest epoch known
-	votes      uint64          // the epoch at which this process votes, 0 for none
-	voted      uint64          // the last epoch at which it voted
-	claims     map[Key]*held   // of this and earlier epochs
-	sources    map[string]bool // replicas of the epoch before whose claims are here
-	votesAt    time.Time       // after a reset, when it starts to vote
-	retired    time.Time       // when it ceased to be a replica
-	votesFor   string          // the other replica whose vote this process has, "" for none
-	gaveVoteAt uint64          // the epoch at which it gave its vote away
-	takenVote  Vote            // the vote of another that it took last
+	// The group at the highest epoch known.
+	group Group
+	// The epoch at which this process votes, 0 if it does not vote.
+	votingEpoch uint64
+	// The last epoch at which this process voted. 0 if it never did or has
+	// transferred its vote since.
+	lastVotedEpoch uint64
+	// Claims of this and earlier epochs.
+	claims map[Key]*heldClaim
+	// Replicas of the previous epoch whose claims have been collected.
+	collectedFrom map[string]bool
+	// When voting starts after a reset.
+	votingStartsAt time.Time
+	// When this process ceased to be a replica or transferred its vote.
+	retiredAt time.Time
+	// The replica whose vote this process took over, "" for none.
+	transferredFrom string
+	// The epoch at which this process transferred its vote to another process.
+	voteGivenEpoch uint64
+	// The vote that this process took over last.
+	lastTakenVote Vote
 }
 
 // ReplicaConfig configures a Replica.
 type ReplicaConfig struct {
-	// Self names this process.
+	// Self identifies this process.
 	Self Process
-	// Retention is how long claims are kept. It must be equal in the mesh.
+	// Retention is how long claims are kept. It must be the same in all processes.
 	Retention time.Duration
-	// MaximumClaims bounds the claims of all groups together.
+	// MaximumClaims bounds the number of claims held, over all groups.
 	MaximumClaims int
-	// MaximumAnswerBytes bounds the memory of stored answers. Default 4 MiB.
+	// MaximumAnswerBytes bounds the memory of stored answers, over all groups.
+	// Default 4 MiB.
 	MaximumAnswerBytes int
 }
 
-const defaultAnswerBytes = 4 << 20
+const defaultMaximumAnswerBytes = 4 << 20
 
-// Replica is the part of a process that holds claims. It is not safe for
-// concurrent use.
+// Replica holds claims for the groups to which its process belongs. It is not
+// safe for concurrent use.
 type Replica struct {
 	config      ReplicaConfig
 	revision    uint64
 	groups      []groupState
 	count       int
 	answerBytes int
-	runners     map[string]Process // shared copies, to save memory
-	expiry      expiryQueue
+	// Runners by id. The claims of a runner share one copy, to save memory.
+	runners map[string]Process
+	expiry  expiryQueue
 }
 
 // NewReplica returns a Replica that knows no groups.
 func NewReplica(config ReplicaConfig) *Replica {
 	if config.MaximumAnswerBytes == 0 {
-		config.MaximumAnswerBytes = defaultAnswerBytes
+		config.MaximumAnswerBytes = defaultMaximumAnswerBytes
 	}
 	return &Replica{config: config, runners: map[string]Process{}}
 }
 
-// Adopt takes a Groups document and reports whether it is newer than the one
-// known. Groups of an older epoch than known are ignored.
+// Adopt applies a Groups document and reports whether its revision is newer than
+// the one known. Groups whose epoch is not newer are left unchanged.
 func (r *Replica) Adopt(now time.Time, document *Groups) bool {
 	if document.Revision <= r.revision {
 		return false
 	}
 	r.revision = document.Revision
 	for len(r.groups) < len(document.Groups) {
-		r.groups = append(r.groups, groupState{claims: map[Key]*held{}})
+		r.groups = append(r.groups, groupState{claims: map[Key]*heldClaim{}})
 	}
 	for i := range document.Groups {
 		r.adoptGroup(now, &r.groups[i], document.Groups[i])
@@ -141,64 +159,68 @@
 	return true
 }
 
-// adoptGroup fences the group at its new epoch and begins to collect claims.
+// adoptGroup fences this process at the group's new epoch and starts to collect
+// claims.
 func (r *Replica) adoptGroup(now time.Time, state *groupState, group Group) {
 	if group.Epoch <= state.group.Epoch {
 		return
 	}
-	wasVoter := state.votes == state.group.Epoch && state.votes > 0
-	before, votedAs := state.group, r.votesAs(state)
+	wasVoter := state.votingEpoch == state.group.Epoch && state.votingEpoch > 0
+	before, votedAs := state.group, r.voterID(state)
 	state.group = group
-	state.votesFor = ""
-	state.votes = 0
-	state.sources = map[string]bool{}
-	if !has(group.Replicas, r.config.Self.ID) {
-		state.retired = now
+	state.transferredFrom = ""
+	state.votingEpoch = 0
+	state.collectedFrom = map[string]bool{}
+	if !containsProcess(group.Replicas, r.config.Self.ID) {
+		state.retiredAt = now
 		return
 	}
 	if wasVoter && before.Epoch == group.Epoch-1 {
-		state.sources[votedAs] = true
+		state.collectedFrom[votedAs] = true
 	}
 	if group.Reset {
-		state.votesAt = now.Add(r.config.Retention)
+		state.votingStartsAt = now.Add(r.config.Retention)
 	}
 	r.activate(now, state)
 }
 
-// activate starts to vote once enough claims have been collected.
+// activate makes this process vote at the current epoch if it is a replica and
+// the claims of a majority of the previous epoch have been collected, or, after a
+// reset, the retention time has passed.
 func (r *Replica) activate(now time.Time, state *groupState) {
-	if !has(state.group.Replicas, r.config.Self.ID) || state.votes == state.group.Epoch || state.gaveVoteAt == state.group.Epoch {
+	if !containsProcess(state.group.Replicas, r.config.Self.ID) || state.votingEpoch == state.group.Epoch || state.voteGivenEpoch == state.group.Epoch {
 		return
 	}
-	if state.group.Reset && now.Before(state.votesAt) {
+	if state.group.Reset && now.Before(state.votingStartsAt) {
 		return
 	}
-	if len(state.group.Previous) > 0 && len(state.sources) < majority(len(state.group.Previous)) {
+	if len(state.group.Previous) > 0 && len(state.collectedFrom) < majority(len(state.group.Previous)) {
 		return
 	}
-	state.votes = state.group.Epoch
-	state.voted = state.votes
+	state.votingEpoch = state.group.Epoch
+	state.lastVotedEpoch = state.votingEpoch
 }
 
-// Votes reports whether this process votes in the group at its highest epoch.
+// Votes reports whether this process votes in the group at the highest epoch known.
 func (r *Replica) Votes(group int) bool {
 	if group >= len(r.groups) {
 		return false
 	}
 	state := &r.groups[group]
-	return state.votes > 0 && state.votes == state.group.Epoch
+	return state.votingEpoch > 0 && state.votingEpoch == state.group.Epoch
 }
 
-// Revision returns the revision of the Groups document known.
+// Revision returns the revision of the adopted Groups document, 0 for none.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Groups returns the number of groups known.
+// Groups returns the number of groups in the adopted document.
 func (r *Replica) Groups() int { return len(r.groups) }
 
 // Len returns the number of claims held.
 func (r *Replica) Len() int { return r.count }
 
-// Ask answers a claim for a group at an epoch.
+// Ask handles a claim that a runner makes at an epoch of a group. A granted claim
+// is held for the retention time.
 func (r *Replica) Ask(now time.Time, group int, epoch uint64, claim Claim) Reply {
 	r.Expire(now)
 	if group >= len(r.groups) || r.groups[group].group.Epoch < epoch {
@@ -209,7 +231,7 @@
 		return Reply{Verdict: Stale}
 	}
 	r.activate(now, state)
-	if state.votes != epoch {
+	if state.votingEpoch != epoch {
 		return Reply{Verdict: Syncing}
 	}
 	if known, exists := state.claims[claim.Key]; exists {
@@ -225,10 +247,10 @@
 	return Reply{Verdict: Granted}
 }
 
-// reply answers a claim for a key that is held. Asking twice for the same run
-// is granted twice.
-func (h *held) reply(claim Claim) Reply {
-	if h.claim.Run == claim.Run && len(h.others) == 0 {
+// reply returns the reply to a claim for a key that is held. A repeated claim of
+// the same run is granted again.
+func (h *heldClaim) reply(claim Claim) Reply {
+	if h.claim.Run == claim.Run && len(h.otherRuns) == 0 {
 		return Reply{Verdict: Granted}
 	}
 	holder := h.claim
@@ -242,16 +264,17 @@
 	} else {
 		r.runners[claim.Runner.ID] = claim.Runner
 	}
-	inserted := &held{claim: claim, expires: expires}
+	inserted := &heldClaim{claim: claim, expires: expires}
 	state.claims[claim.Key] = inserted
 	r.count++
 	r.expiry.push(expiryItem{at: expires, key: claim.Key})
 	r.setAnswer(inserted, answer)
 }
 
-// setAnswer stores an answer while there is memory for it.
-func (r *Replica) setAnswer(into *held, answer *Answer) {
-	if answer == nil || into.answer != nil {
+// setAnswer stores an answer. An answer that would exceed MaximumAnswerBytes is
+// dropped.
+func (r *Replica) setAnswer(target *heldClaim, answer *Answer) {
+	if answer == nil || target.answer != nil {
 		return
 	}
 	size := answer.size()
@@ -259,22 +282,22 @@
 		return
 	}
 	r.answerBytes += size
-	into.answer = answer
+	target.answer = answer
 }
 
-// Withdraw removes the claim of a run that has not run and will not.
+// Withdraw removes the claim of a run that has not started and never will.
 func (r *Replica) Withdraw(group int, key Key, run string) {
 	if group >= len(r.groups) {
 		return
 	}
 	state := &r.groups[group]
 	known, exists := state.claims[key]
-	if exists && known.claim.Run == run && len(known.others) == 0 {
+	if exists && known.claim.Run == run && len(known.otherRuns) == 0 {
 		r.remove(state, key, known)
 	}
 }
 
-// Finish stores the answer of a run.
+// Finish stores the answer of a completed run.
 func (r *Replica) Finish(group int, key Key, run string, answer *Answer) {
 	if group >= len(r.groups) {
 		return
@@ -284,7 +307,7 @@
 	}
 }
 
-func (r *Replica) remove(state *groupState, key Key, known *held) {
+func (r *Replica) remove(state *groupState, key Key, known *heldClaim) {
 	if known.answer != nil {
 		r.answerBytes -= known.answer.size()
 	}
@@ -292,7 +315,7 @@
 	r.count--
 }
 
-// Expire forgets claims whose retention has passed.
+// Expire deletes claims whose retention time has passed.
 func (r *Replica) Expire(now time.Time) {
 	for {
 		item, due := r.expiry.pop(now)
--- a/claims/safety_test.go
+++ b/claims/safety_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The random cases are the same in every run, so that the verdict is too. More
-// are tried with -rapid.seed=0 -rapid.checks=N.
+// The seed is fixed so that every run checks the same cases. Check other cases with
+// -rapid.seed=0 -rapid.checks=N.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "3000"} {
 		if err := flag.Set(name, value); err != nil {
@@ -19,27 +19,32 @@
 	}
 }
 
-// world is a mesh in which runners claim one key while messages are lost,
-// delayed and delivered twice, replicas end and are replaced by empty ones, and
+// simulatedCluster is a mesh in which runners claim one key while messages are
+// lost, delayed and duplicated, replicas crash and are replaced by empty ones, and
 // the group changes its epoch.
-type world struct {
-	t        *rapid.T
-	now      time.Time
-	replicas map[string]*Replica // that are running
-	ids      []string            // of all that ever ran
-	stored   *Groups             // in the store
-	mail     []func()            // messages that may still arrive
+type simulatedCluster struct {
+	t   *rapid.T
+	now time.Time
+	// Running replicas by id.
+	replicas map[string]*Replica
+	// Ids of all replicas that were ever started.
+	ids []string
+	// The document in the store.
+	stored *Groups
+	// Messages that may still be delivered.
+	messages []func()
 	rounds   []*simulatedRound
-	winners  map[string]bool
-	unsafe   unsafeRules
+	// Runs that won the key.
+	winners map[string]bool
+	broken  brokenRules
 }
 
-// unsafeRules break a rule of the protocol on purpose, to show that the check
-// notices it.
-type unsafeRules struct {
+// brokenRules disables rules of the protocol, to show that the check detects the
+// violation.
+type brokenRules struct {
 	noFence    bool // replicas vote at old epochs
-	noTransfer bool // new replicas vote at once
-	keepVote   bool // who gave its vote away goes on voting
+	noTransfer bool // new replicas vote without collecting claims
+	keepVote   bool // a replica that transferred its vote keeps voting
 }
 
 // simulatedRound is one claim of a runner.
@@ -47,74 +52,77 @@
 	run   string
 	group Group
 	round *Round
-	seen  map[string]bool
-	over  bool // its runner has given it up
+	// Voters whose reply was counted.
+	replied map[string]bool
+	// The runner has abandoned the run.
+	givenUp bool
 
+	// Earlier runs that the claim lists as abandoned.
 	abandoned []string
 }
 
-func newWorld(t *rapid.T, rules unsafeRules) *world {
-	w := &world{t: t, now: time.Unix(1000, 0), replicas: map[string]*Replica{}, winners: map[string]bool{}, unsafe: rules}
+func newSimulatedCluster(t *rapid.T, rules brokenRules) *simulatedCluster {
+	s := &simulatedCluster{t: t, now: time.Unix(1000, 0), replicas: map[string]*Replica{}, winners: map[string]bool{}, broken: rules}
 	for range 5 {
-		w.spawn()
+		s.startReplica()
 	}
-	w.stored = &Groups{Revision: 1, Groups: []Group{{Epoch: 1, Replicas: processes(w.ids[0], w.ids[1], w.ids[2])}}}
-	for _, id := range w.ids {
-		w.replicas[id].Adopt(w.now, w.stored)
+	s.stored = &Groups{Revision: 1, Groups: []Group{{Epoch: 1, Replicas: processes(s.ids[0], s.ids[1], s.ids[2])}}}
+	for _, id := range s.ids {
+		s.replicas[id].Adopt(s.now, s.stored)
 	}
-	return w
+	return s
 }
 
-// spawn starts an empty replica.
-func (w *world) spawn() {
-	id := fmt.Sprintf("r%d", len(w.ids))
-	w.ids = append(w.ids, id)
-	w.replicas[id] = NewReplica(ReplicaConfig{Self: process(id), Retention: time.Hour, MaximumClaims: 100})
+// startReplica starts a replica without claims.
+func (s *simulatedCluster) startReplica() {
+	id := fmt.Sprintf("r%d", len(s.ids))
+	s.ids = append(s.ids, id)
+	s.replicas[id] = NewReplica(ReplicaConfig{Self: process(id), Retention: time.Hour, MaximumClaims: 100})
 }
 
-func (w *world) running() []string {
+func (s *simulatedCluster) running() []string {
 	list := []string{}
-	for _, id := range w.ids {
-		if w.replicas[id] != nil {
+	for _, id := range s.ids {
+		if s.replicas[id] != nil {
 			list = append(list, id)
 		}
 	}
 	return list
 }
 
-func (w *world) pick(label string) string {
-	return rapid.SampledFrom(w.running()).Draw(w.t, label)
+func (s *simulatedCluster) pickRunning(label string) string {
+	return rapid.SampledFrom(s.running()).Draw(s.t, label)
 }
 
-// claim begins a round with the document that some replica knows.
-func (w *world) claim() {
-	known := w.replicas[w.pick("runner")]
+// claim starts a round with the document that a random replica knows.
+func (s *simulatedCluster) claim() {
+	known := s.replicas[s.pickRunning("runner")]
 	if len(known.groups) == 0 {
 		return
 	}
 	group := known.groups[0].group
 	abandoned := []string{}
-	for _, earlier := range w.rounds { // as runners do that ask again
-		if !w.winners[earlier.run] && rapid.IntRange(0, 2).Draw(w.t, "give up") == 0 {
-			earlier.over = true
+	for _, earlier := range s.rounds { // a runner that claims again abandons its earlier runs
+		if !s.winners[earlier.run] && rapid.IntRange(0, 2).Draw(s.t, "give up") == 0 {
+			earlier.givenUp = true
 		}
-		if earlier.over {
+		if earlier.givenUp {
 			abandoned = append(abandoned, earlier.run)
 		}
 	}
-	r := &simulatedRound{abandoned: abandoned, run: fmt.Sprintf("run%d", len(w.rounds)), group: group, round: NewRound(group), seen: map[string]bool{}}
-	w.rounds = append(w.rounds, r)
+	r := &simulatedRound{abandoned: abandoned, run: fmt.Sprintf("run%d", len(s.rounds)), group: group, round: NewRound(group), replied: map[string]bool{}}
+	s.rounds = append(s.rounds, r)
 	for _, replica := range group.Replicas {
-		w.mail = append(w.mail, func() { w.ask(r, replica.ID, w.holder(replica.ID, group.Epoch)) })
+		s.messages = append(s.messages, func() { s.deliverClaim(r, replica.ID, s.voteHolder(replica.ID, group.Epoch)) })
 	}
 }
 
-// holder returns who is asked for a vote: who has it, or, as a runner does
-// that has not heard of a move, the replica itself.
-func (w *world) holder(replica string, epoch uint64) string {
-	for _, id := range w.running() {
-		for _, vote := range w.replicas[id].TakenVotes() {
-			if vote.Replica == replica && vote.Epoch == epoch && rapid.IntRange(0, 2).Draw(w.t, "heard") > 0 {
+// voteHolder returns the process to ask for the vote of a replica: its holder, or the
+// replica itself where the sender does not know of the transfer.
+func (s *simulatedCluster) voteHolder(replica string, epoch uint64) string {
+	for _, id := range s.running() {
+		for _, vote := range s.replicas[id].TakenVotes() {
+			if vote.Replica == replica && vote.Epoch == epoch && rapid.IntRange(0, 2).Draw(s.t, "heard") > 0 {
 				return id
 			}
 		}
@@ -122,158 +130,159 @@
 	return replica
 }
 
-// move hands the vote of one replica to another process. The message may be
-// lost; then the vote is.
-func (w *world) move() {
-	giver, taker := w.replicas[w.pick("giver")], w.replicas[w.pick("taker")]
+// transferVote transfers the vote of one replica to another process. If the message is
+// lost, so is the vote.
+func (s *simulatedCluster) transferVote() {
+	giver, taker := s.replicas[s.pickRunning("giver")], s.replicas[s.pickRunning("taker")]
 	votes := giver.HeldVotes()
 	if len(votes) == 0 || giver == taker {
 		return
 	}
-	before := giver.groups[0].voted
-	handed, ok := giver.GiveVote(w.now, votes[0])
-	if w.unsafe.keepVote && ok {
-		giver.groups[0].votes, giver.groups[0].voted, giver.groups[0].gaveVoteAt = votes[0].Epoch, before, 0
+	before := giver.groups[0].lastVotedEpoch
+	handedOver, ok := giver.GiveVote(s.now, votes[0])
+	if s.broken.keepVote && ok {
+		giver.groups[0].votingEpoch, giver.groups[0].lastVotedEpoch, giver.groups[0].voteGivenEpoch = votes[0].Epoch, before, 0
 	}
 	if ok {
-		w.mail = append(w.mail, func() { taker.TakeVote(w.now, votes[0], handed) })
+		s.messages = append(s.messages, func() { taker.TakeVote(s.now, votes[0], handedOver) })
 	}
 }
 
-// ask delivers a claim to the holder of one vote, and its reply.
-func (w *world) ask(r *simulatedRound, voter, id string) {
-	replica := w.replicas[id]
+// deliverClaim delivers a claim to the holder of one vote, and its reply to the runner
+// unless it is lost.
+func (s *simulatedCluster) deliverClaim(r *simulatedRound, voter, id string) {
+	replica := s.replicas[id]
 	if replica == nil {
 		return
 	}
-	if w.unsafe.noFence && len(replica.groups) > 0 && replica.groups[0].group.Epoch > r.group.Epoch {
-		replica.groups[0].group.Epoch, replica.groups[0].votes = r.group.Epoch, r.group.Epoch
+	if s.broken.noFence && len(replica.groups) > 0 && replica.groups[0].group.Epoch > r.group.Epoch {
+		replica.groups[0].group.Epoch, replica.groups[0].votingEpoch = r.group.Epoch, r.group.Epoch
 	}
-	if w.unsafe.noTransfer && len(replica.groups) > 0 {
-		replica.groups[0].votes = replica.groups[0].group.Epoch
+	if s.broken.noTransfer && len(replica.groups) > 0 {
+		replica.groups[0].votingEpoch = replica.groups[0].group.Epoch
 	}
-	reply := replica.Ask(w.now, 0, r.group.Epoch, Claim{Key: NewKey("key"), Run: r.run, Runner: process("x"), Abandoned: r.abandoned})
-	if r.over || r.seen[voter] || rapid.IntRange(0, 4).Draw(w.t, "reply lost") == 0 {
-		return // a reply counts once
+	reply := replica.Ask(s.now, 0, r.group.Epoch, Claim{Key: NewKey("key"), Run: r.run, Runner: process("x"), Abandoned: r.abandoned})
+	if r.givenUp || r.replied[voter] || rapid.IntRange(0, 4).Draw(s.t, "reply lost") == 0 {
+		return // each vote counts once
 	}
-	r.seen[voter] = true
+	r.replied[voter] = true
 	if r.round.Reply(reply) == Won {
-		w.winners[r.run] = true
+		s.winners[r.run] = true
 	}
 }
 
-// deliver delivers one message, loses it, or delivers it and keeps a copy.
-func (w *world) deliver() {
-	if len(w.mail) == 0 {
+// deliver drops a random message, delivers it, or delivers it and keeps a duplicate.
+func (s *simulatedCluster) deliver() {
+	if len(s.messages) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.mail)-1).Draw(w.t, "message")
-	message := w.mail[i]
-	fate := rapid.IntRange(0, 9).Draw(w.t, "fate")
+	i := rapid.IntRange(0, len(s.messages)-1).Draw(s.t, "message")
+	message := s.messages[i]
+	fate := rapid.IntRange(0, 9).Draw(s.t, "fate")
 	if fate != 0 {
-		w.mail = append(w.mail[:i], w.mail[i+1:]...)
+		s.messages = append(s.messages[:i], s.messages[i+1:]...)
 	}
 	if fate != 1 {
 		message()
 	}
 }
 
-// change writes a new epoch to the store, as the planner does.
-func (w *world) change() {
+// changeEpoch plans new groups and writes them to the store.
+func (s *simulatedCluster) changeEpoch() {
 	candidates := []Candidate{}
-	for _, id := range w.ids {
-		alive := w.replicas[id] != nil
-		leaving := alive && rapid.IntRange(0, 2).Draw(w.t, "leaving") == 0
+	for _, id := range s.ids {
+		alive := s.replicas[id] != nil
+		leaving := alive && rapid.IntRange(0, 2).Draw(s.t, "leaving") == 0
 		candidates = append(candidates, Candidate{Process: process(id), Zone: id, Alive: alive, Leaving: leaving})
 	}
-	planner := Planner{Groups: 1, Replicas: 3, Voting: func(int) bool { return rapid.Bool().Draw(w.t, "voting") }}
-	plan := planner.Plan(w.stored, candidates)
+	planner := Planner{Groups: 1, Replicas: 3, Voting: func(int) bool { return rapid.Bool().Draw(s.t, "voting") }}
+	plan := planner.Plan(s.stored, candidates)
 	if plan.Changed > 0 {
-		w.stored = plan.Next
+		s.stored = plan.Next
 	}
 }
 
-// collect lets one replica collect claims from another.
-func (w *world) collect() {
-	replica := w.replicas[w.pick("collector")]
+// collect starts a transfer of claims that a random replica still needs.
+func (s *simulatedCluster) collect() {
+	replica := s.replicas[s.pickRunning("collector")]
 	fetches := replica.Fetches()
 	if len(fetches) == 0 {
 		return
 	}
-	fetch := rapid.SampledFrom(fetches).Draw(w.t, "fetch")
-	source := w.replicas[w.holder(fetch.From.ID, fetch.Epoch-1)]
+	fetch := rapid.SampledFrom(fetches).Draw(s.t, "fetch")
+	source := s.replicas[s.voteHolder(fetch.From.ID, fetch.Epoch-1)]
 	if source == nil {
 		return
 	}
-	handed, ok := source.HandOver(w.now, fetch.Group, fetch.Epoch)
+	handedOver, ok := source.HandOver(s.now, fetch.Group, fetch.Epoch)
 	if ok {
-		w.mail = append(w.mail, func() { replica.TakeOver(w.now, fetch, handed) })
+		s.messages = append(s.messages, func() { replica.TakeOver(s.now, fetch, handedOver) })
 	}
 }
 
-func (w *world) step() {
-	switch rapid.IntRange(0, 9).Draw(w.t, "step") {
+func (s *simulatedCluster) runStep() {
+	switch rapid.IntRange(0, 9).Draw(s.t, "step") {
 	case 0, 1:
-		w.claim()
+		s.claim()
 	case 2:
-		w.change()
+		s.changeEpoch()
 	case 3, 4:
-		w.replicas[w.pick("adopter")].Adopt(w.now, w.stored)
+		s.replicas[s.pickRunning("adopter")].Adopt(s.now, s.stored)
 	case 5, 6:
-		w.collect()
+		s.collect()
 	case 7:
-		w.move()
-		if rapid.IntRange(0, 3).Draw(w.t, "end") == 0 {
-			delete(w.replicas, w.pick("ended"))
-			w.spawn()
+		s.transferVote()
+		if rapid.IntRange(0, 3).Draw(s.t, "end") == 0 {
+			delete(s.replicas, s.pickRunning("ended"))
+			s.startReplica()
 		}
 	default:
-		w.deliver()
-		w.deliver()
+		s.deliver()
+		s.deliver()
 	}
 }
 
-// play runs a random history and returns the number of runs that won the key.
-func play(t *rapid.T, rules unsafeRules) int {
-	w := newWorld(t, rules)
+// simulate executes a random history and returns the number of runs that won the key.
+func simulate(t *rapid.T, rules brokenRules) int {
+	s := newSimulatedCluster(t, rules)
 	for range rapid.IntRange(10, 120).Draw(t, "steps") {
-		w.step()
+		s.runStep()
 	}
-	for len(w.mail) > 0 {
-		w.mail[0]()
-		w.mail = w.mail[1:]
+	for len(s.messages) > 0 {
+		s.messages[0]()
+		s.messages = s.messages[1:]
 	}
-	return len(w.winners)
+	return len(s.winners)
 }
 
 func TestAtMostOneRunWinsAKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if winners := play(t, unsafeRules{}); winners > 1 {
+		if winners := simulate(t, brokenRules{}); winners > 1 {
 			t.Fatalf("%d runs won the same key", winners)
 		}
 	})
 }
 
-// TestTheCheckNoticesBrokenRules shows the fault first: without the rules, a
-// key is won twice in some history.
-func TestTheCheckNoticesBrokenRules(t *testing.T) {
+// Without any one of the rules, some history has two winners. Guards against a check that
+// cannot fail.
+func TestCheckDetectsBrokenRules(t *testing.T) {
 	cases := []struct {
 		name  string
-		rules unsafeRules
+		rules brokenRules
 	}{
-		{"replicas vote at old epochs", unsafeRules{noFence: true}},
-		{"new replicas vote at once", unsafeRules{noTransfer: true}},
-		{"a place has two holders", unsafeRules{keepVote: true}},
+		{"replicas vote at old epochs", brokenRules{noFence: true}},
+		{"new replicas vote without collecting claims", brokenRules{noTransfer: true}},
+		{"a vote has two holders", brokenRules{keepVote: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			generator := rapid.Custom(func(t *rapid.T) int { return play(t, c.rules) })
+			generator := rapid.Custom(func(t *rapid.T) int { return simulate(t, c.rules) })
 			for seed := range 5000 {
 				if generator.Example(seed) > 1 {
 					return
 				}
 			}
-			t.Fatal("no history was found in which a key is won twice")
+			t.Fatal("found no history with two winners in 5000 seeds")
 		})
 	}
 }
--- a/claims/transfer.go
+++ b/claims/transfer.go
@@ -5,89 +5,94 @@
 	"time"
 )
 
-// Transferred is one claim that is handed to another replica.
+// Transferred is one claim that is transferred to another replica.
 type Transferred struct {
-	Claim  Claim         `json:"claim"`
-	Others []string      `json:"others,omitempty"` // runs that may hold the key too
-	Left   time.Duration `json:"left_ns"`          // of the retention time
+	Claim Claim `json:"claim"`
+	// Others lists other runs that may hold the key.
+	Others []string `json:"others,omitempty"`
+	// Left is the rest of the retention time.
+	Left   time.Duration `json:"left_ns"`
 	Answer *Answer       `json:"answer,omitempty"`
 }
 
-// Fetch asks for the claims of one group from a replica of the epoch before.
+// Fetch describes a transfer of the claims of one group from a replica of the
+// previous epoch to this process.
 type Fetch struct {
 	From  Process
 	Group int
-	Epoch uint64 // the new epoch
+	// Epoch is the new epoch.
+	Epoch uint64
 }
 
-// Fetches returns what this process still has to collect.
+// Fetches returns the transfers that this process may still need before it votes.
 func (r *Replica) Fetches() []Fetch {
-	wanted := []Fetch{}
+	missing := []Fetch{}
 	for i := range r.groups {
 		state := &r.groups[i]
-		isReplica := has(state.group.Replicas, r.config.Self.ID)
-		if state.votes == state.group.Epoch || state.gaveVoteAt == state.group.Epoch || !isReplica {
+		isReplica := containsProcess(state.group.Replicas, r.config.Self.ID)
+		if state.votingEpoch == state.group.Epoch || state.voteGivenEpoch == state.group.Epoch || !isReplica {
 			continue
 		}
 		for _, source := range state.group.Previous {
-			if !state.sources[source.ID] {
-				wanted = append(wanted, Fetch{From: source, Group: i, Epoch: state.group.Epoch})
+			if !state.collectedFrom[source.ID] {
+				missing = append(missing, Fetch{From: source, Group: i, Epoch: state.group.Epoch})
 			}
 		}
 	}
-	return wanted
+	return missing
 }
 
-// HandOver returns the claims of a group for a replica of the new epoch. It
-// reports false when this process does not know that epoch, or did not vote at
-// the epoch before. Knowing the new epoch, it is fenced.
+// HandOver returns the claims of a group for a replica of the given new epoch. It
+// reports false when this process has not adopted that epoch, and so is not fenced
+// yet, or has not voted at the previous epoch or later.
 func (r *Replica) HandOver(now time.Time, group int, epoch uint64) ([]Transferred, bool) {
 	if group >= len(r.groups) {
 		return nil, false
 	}
 	state := &r.groups[group]
-	if state.group.Epoch < epoch || state.voted < epoch-1 {
+	if state.group.Epoch < epoch || state.lastVotedEpoch < epoch-1 {
 		return nil, false
 	}
-	handed := make([]Transferred, 0, len(state.claims))
+	handedOver := make([]Transferred, 0, len(state.claims))
 	for _, known := range state.claims {
-		left := known.expires.Sub(now)
-		if left > 0 {
-			handed = append(handed, Transferred{Claim: known.claim, Others: known.others, Left: left, Answer: known.answer})
+		remaining := known.expires.Sub(now)
+		if remaining > 0 {
+			handedOver = append(handedOver, Transferred{Claim: known.claim, Others: known.otherRuns, Left: remaining, Answer: known.answer})
 		}
 	}
-	return handed, true
+	return handedOver, true
 }
 
-// TakeOver stores claims that were handed over and reports whether this process
-// now votes in the group.
-func (r *Replica) TakeOver(now time.Time, fetch Fetch, handed []Transferred) bool {
+// TakeOver stores the claims that a fetch returned and reports whether this process
+// now votes in the group. It ignores a fetch for another epoch, or one that returns
+// after this process started to vote, and reports false.
+func (r *Replica) TakeOver(now time.Time, fetch Fetch, handedOver []Transferred) bool {
 	if fetch.Group >= len(r.groups) {
 		return false
 	}
 	state := &r.groups[fetch.Group]
-	if state.group.Epoch != fetch.Epoch || state.votes == fetch.Epoch {
+	if state.group.Epoch != fetch.Epoch || state.votingEpoch == fetch.Epoch {
 		return false
 	}
-	for _, transferred := range handed {
-		r.takeOverOne(now, state, transferred)
+	for _, transferred := range handedOver {
+		r.merge(now, state, transferred)
 	}
-	state.sources[fetch.From.ID] = true
+	state.collectedFrom[fetch.From.ID] = true
 	r.activate(now, state)
-	return state.votes == state.group.Epoch
+	return state.votingEpoch == state.group.Epoch
 }
 
-// takeOverOne stores one claim. When the key is held here under another run, one
-// of the two may have won it, and it is not known which: both block the key.
-func (r *Replica) takeOverOne(now time.Time, state *groupState, transferred Transferred) {
+// merge stores one transferred claim. When another run holds the key here, either
+// run may have won it, so both block the key.
+func (r *Replica) merge(now time.Time, state *groupState, transferred Transferred) {
 	expires := now.Add(transferred.Left)
 	known, exists := state.claims[transferred.Claim.Key]
 	if !exists {
 		r.insert(state, transferred.Claim, expires, transferred.Answer)
-		state.claims[transferred.Claim.Key].others = transferred.Others
+		state.claims[transferred.Claim.Key].otherRuns = transferred.Others
 		return
 	}
-	known.addOthers(transferred)
+	known.addOtherRuns(transferred)
 	if expires.After(known.expires) {
 		known.expires = expires
 		r.expiry.push(expiryItem{at: expires, key: transferred.Claim.Key})
@@ -97,22 +102,22 @@
 	}
 }
 
-// addOthers remembers the runs of another replica that are not the own one.
-func (h *held) addOthers(transferred Transferred) {
+// addOtherRuns records the runs of a transferred claim that differ from h's own.
+func (h *heldClaim) addOtherRuns(transferred Transferred) {
 	for _, run := range append([]string{transferred.Claim.Run}, transferred.Others...) {
-		if run != h.claim.Run && !slices.Contains(h.others, run) {
-			h.others = append(h.others, run)
+		if run != h.claim.Run && !slices.Contains(h.otherRuns, run) {
+			h.otherRuns = append(h.otherRuns, run)
 		}
 	}
 }
 
-// Forget drops the claims of groups that this process left longer ago than the
-// retention time.
+// Forget deletes the claims of groups that this process left at least the retention
+// time ago.
 func (r *Replica) Forget(now time.Time) {
 	for i := range r.groups {
 		state := &r.groups[i]
-		left := !has(state.group.Replicas, r.config.Self.ID) && state.votesFor == ""
-		if !left || len(state.claims) == 0 || now.Sub(state.retired) < r.config.Retention {
+		departed := !containsProcess(state.group.Replicas, r.config.Self.ID) && state.transferredFrom == ""
+		if !departed || len(state.claims) == 0 || now.Sub(state.retiredAt) < r.config.Retention {
 			continue
 		}
 		for key, known := range state.claims {
