--- a/membership/config.go
+++ b/membership/config.go
@@ -15,7 +15,7 @@
 	// and costs more messages. Default 1s.
 	ProbeInterval time.Duration
 
-	// ProbeTimeout is how long the caller waits for an answer to a message.
+	// ProbeTimeout is how long the caller waits for a reply to a message.
 	// Longer tolerates slow members, shorter finds failures sooner. Default
 	// half the probe interval.
 	ProbeTimeout time.Duration
@@ -24,9 +24,9 @@
 	// More tolerates more broken paths. Default 3.
 	IndirectProbes int
 
-	// SuspicionIntervals is the number of probe intervals, times the decimal
-	// logarithm of the mesh size (at least 1), for which a suspect may
-	// refute. Longer removes fewer healthy members, shorter finds failures
+	// SuspicionIntervals sets how long a suspect has to refute, in probe
+	// intervals. It is multiplied by the decimal logarithm of the mesh size (at
+	// least 1). Longer removes fewer healthy members, shorter finds failures
 	// sooner. Default 3.
 	SuspicionIntervals float64
 
@@ -34,42 +34,44 @@
 	// updates to spread. Default a fifth of the probe interval.
 	GossipInterval time.Duration
 
-	// GossipFanout is the number of members that each round of gossip goes to.
+	// GossipFanout is the number of members to which each round of gossip is sent.
 	// Default 3.
 	GossipFanout int
 
-	// MaximumUpdates bounds the updates on one message, except those of Sync. News
-	// that comes with more others is not passed on by gossip, since whoever lacks
-	// it finds out by comparing lists. Default 16.
+	// MaximumUpdates bounds the updates in one message, except in Sync. Updates from
+	// a message that carries more are not passed on by gossip: other processes
+	// receive them by comparing lists. Default 16.
 	MaximumUpdates int
 
-	// SyncInterval is the least time between two comparisons of lists with members
-	// whose digest differs. Shorter spreads many changes sooner, longer sends
-	// fewer bytes while members come and go. Default the probe interval.
+	// SyncInterval is the minimum time between two comparisons of lists with
+	// members whose digest differs. Shorter spreads many changes sooner, longer
+	// sends fewer bytes while members join and leave. Default the probe interval.
 	SyncInterval time.Duration
 
 	// ForgetAfter is how long dead members are remembered and probed. Default 1h.
 	ForgetAfter time.Duration
 
-	// JoinTime is how long after its start a process compares lists with
-	// addresses that it was given and knows nobody at, in each GossipInterval.
+	// JoinTime is how long after its start a process sends a Sync, in each
+	// GossipInterval, to seeds and other addresses without a known live member.
 	// Longer finds more of a mesh that starts slowly, shorter sends fewer
-	// messages to addresses where nobody is. Default 5s.
+	// messages to addresses without a process. Default 5s.
 	JoinTime time.Duration
-	// JoinFanout is the number of such addresses that are tried at once. Default 3.
+	// JoinFanout is the number of such addresses tried in each GossipInterval.
+	// Default 3.
 	JoinFanout int
 
 	// Random is the source of random choices. Required.
 	Random *rand.Rand
 
-	// OnChange is called for each change of a member's record. May be nil.
+	// OnChange is called for each change of a member's record, with the zero Member
+	// as before for a new member. May be nil.
 	OnChange func(before, after Member)
 }
 
-// GossipsPerProbe is the number of gossip intervals in a probe interval by default.
+// GossipsPerProbe is the default number of gossip intervals in a probe interval.
 const GossipsPerProbe = 5
 
-// Defaults of a Config that are not a part of another of its times.
+// Defaults of Config that do not depend on other fields.
 const (
 	defaultProbeInterval      = time.Second
 	defaultIndirectProbes     = 3
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -7,25 +7,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is the number of parts in which lists are compared. With more, less
-// is sent beside what differs; each takes bucketSize bytes of the comparison.
+// Lists are compared bucket by bucket. With more buckets, fewer unchanged records are
+// sent along with a changed one, but the digests of each comparison take more bytes.
 const (
 	bucketCount = 256
 	bucketSize  = 4 // bytes
 )
 
-// digests are hashes of the parts of a list of members, by the hash of their ids.
-// Equal lists have equal digests, in whatever order they came about.
+// digests holds one hash for each bucket of a member list. Members are assigned to
+// buckets by a hash of their id. Equal lists have equal digests, whatever the order of
+// their updates.
 type digests [bucketCount]uint32
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % bucketCount) }
 
-// toggle adds a record, or takes it out again.
+// toggle adds a record to the digests, or removes one that was added.
 func (d *digests) toggle(member Member) { d[bucketOf(member.ID)] ^= uint32(hashMember(member)) }
 
-// hashMember is the share of one record in the digest of a list. Who suspects
-// a member does not count, since it differs between processes, nor do dead members,
-// which some processes have forgotten or never knew.
+// hashMember returns the contribution of one record to the digest of its bucket. It
+// leaves out Accuser, which differs between processes, and is 0 for dead members, which
+// some processes have forgotten or never knew.
 func hashMember(member Member) uint64 {
 	if member.Status == Dead {
 		return 0
@@ -39,7 +40,7 @@
 	return xxhash.Sum64(text)
 }
 
-// pack returns the digests as they are sent.
+// pack encodes the digests for Message.Buckets.
 func (d *digests) pack() []byte {
 	packed := make([]byte, 0, bucketCount*bucketSize)
 	for _, part := range d {
@@ -48,11 +49,11 @@
 	return packed
 }
 
-// whole is the digest of the whole list.
-func (d *digests) whole() uint64 { return xxhash.Sum64(d.pack()) }
+// combined returns the digest of the complete list.
+func (d *digests) combined() uint64 { return xxhash.Sum64(d.pack()) }
 
-// differing returns the parts whose digests another process sent differ from these. Without
-// digests, all parts do.
+// differing returns the buckets whose digest differs from the received ones, or all buckets
+// if packed has the wrong length.
 func (d *digests) differing(packed []byte) (differs [bucketCount]bool) {
 	complete := len(packed) == bucketCount*bucketSize
 	for i, part := range d {
@@ -61,7 +62,7 @@
 	return differs
 }
 
-// membersIn returns the members of some parts of the list, in order of id.
+// membersIn returns the members in the given buckets, in order of id.
 func (m *Machine) membersIn(parts [bucketCount]bool) []Member {
 	found := []Member{}
 	for _, member := range m.Members() {
--- a/membership/digest_test.go
+++ b/membership/digest_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// crowd are members that several machines know.
-func crowd(count int) []Member {
+// makeMembers returns count live members.
+func makeMembers(count int) []Member {
 	members := make([]Member, count)
 	for i := range members {
 		members[i] = Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Version: 1}
@@ -16,88 +16,89 @@
 	return members
 }
 
-// exchange lets one machine compare its list with another's and returns the
-// number of records that were sent in both directions.
-func exchange(from, to *Machine) int {
+// syncLists compares the lists of two machines and returns the number of records sent in
+// both directions.
+func syncLists(from, to *Machine) int {
 	asked := from.send("to", Sync, nil)
-	reply := to.Receive(epoch, asked.Message)
+	reply := to.Receive(startTime, asked.Message)
 	records := len(asked.Message.Updates) + len(reply.Updates)
-	for _, push := range from.Replied(epoch, asked, reply) {
+	for _, push := range from.Replied(startTime, asked, reply) {
 		records += len(push.Message.Updates)
-		to.Receive(epoch, push.Message)
+		to.Receive(startTime, push.Message)
 	}
 	return records
 }
 
-func TestListsAreComparedByParts(t *testing.T) {
+// A comparison exchanges only the buckets that differ and leaves both lists equal.
+func TestListsAreComparedByBucket(t *testing.T) {
 	const known = 320
 	extra := Member{ID: "extra", Control: "extra:1", Generation: 1, Version: 1}
-	suspected := crowd(1)[0]
+	suspected := makeMembers(1)[0]
 	suspected.Status = Suspect
 	dead := extra
 	dead.Status = Dead
 	cases := []struct {
-		name      string
-		left      []Member // news for the one that asks
-		right     []Member // news for the one that answers
-		mostSent  int
-		leastSent int
+		name        string
+		left        []Member // updates for the machine that sends the Sync
+		right       []Member // updates for the machine that replies
+		maximumSent int
+		minimumSent int
 	}{
 		{"equal lists", nil, nil, 0, 0},
-		{"the asked one knows more", nil, []Member{extra}, 10, 1},
-		{"the asking one knows more", []Member{extra}, nil, 10, 1},
-		{"both know more", []Member{extra}, []Member{suspected}, 20, 2},
-		{"one remembers a dead member", []Member{extra, dead}, nil, 0, 0},
+		{"the replying machine has one more", nil, []Member{extra}, 10, 1},
+		{"the sending machine has one more", []Member{extra}, nil, 10, 1},
+		{"each has a different update", []Member{extra}, []Member{suspected}, 20, 2},
+		{"one has a dead member", []Member{extra, dead}, nil, 0, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			left, right := newMachine("left"), newMachine("right")
-			news(left, append(crowd(known), right.Self())...)
-			news(right, append(crowd(known), left.Self())...)
+			receiveUpdates(left, append(makeMembers(known), right.Self())...)
+			receiveUpdates(right, append(makeMembers(known), left.Self())...)
 			is.Equal(left.digests, right.digests)
-			news(left, c.left...)
-			news(right, c.right...)
-			sent := exchange(left, right)
-			is.True(sent >= c.leastSent)
-			is.True(sent <= c.mostSent)
+			receiveUpdates(left, c.left...)
+			receiveUpdates(right, c.right...)
+			sent := syncLists(left, right)
+			is.True(sent >= c.minimumSent)
+			is.True(sent <= c.maximumSent)
 			is.Equal(left.digests, right.digests)
-			is.Equal(exchange(left, right), 0)
+			is.Equal(syncLists(left, right), 0)
 		})
 	}
 }
 
-// TestANewProcessLearnsTheWholeListOnce.
-func TestANewProcessLearnsTheWholeListOnce(t *testing.T) {
+// A new process receives each record once.
+func TestNewProcessReceivesCompleteList(t *testing.T) {
 	is := is.New(t)
-	fresh, settled := newMachine("fresh"), newMachine("settled")
-	news(settled, crowd(300)...)
-	is.True(exchange(fresh, settled) <= 303)
-	is.Equal(fresh.digests, settled.digests)
+	newcomer, settled := newMachine("fresh"), newMachine("settled")
+	receiveUpdates(settled, makeMembers(300)...)
+	is.True(syncLists(newcomer, settled) <= 303)
+	is.Equal(newcomer.digests, settled.digests)
 }
 
-// TestMuchNewsAtOnceIsNotPassedOn: 300 processes that each pass on 300 records a
-// dozen times would send 300 MB.
-func TestMuchNewsAtOnceIsNotPassedOn(t *testing.T) {
+// Updates received in bulk must not be gossiped again: in a mesh that starts all at once,
+// that would send each record many times to every process.
+func TestBulkUpdatesAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
 	before := len(m.updates.items)
-	news(m, crowd(300)...)
+	receiveUpdates(m, makeMembers(300)...)
 	is.Equal(len(m.updates.items), before+1) // the sender's own record
-	news(m, Member{ID: "one", Control: "one:1", Generation: 1, Version: 1})
+	receiveUpdates(m, Member{ID: "one", Control: "one:1", Generation: 1, Version: 1})
 	is.Equal(len(m.updates.items), before+2)
 }
 
-// TestForgottenMembersLeaveNothingBehind.
-func TestForgottenMembersLeaveNothingBehind(t *testing.T) {
+// A forgotten member must be removed from all indexes.
+func TestForgottenMemberIsRemoved(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
-	gone := other(1, Alive)
-	news(m, gone)
-	gone.Status = Dead
-	news(m, gone)
-	m.Tick(epoch.Add(2 * m.config.ForgetAfter))
-	_, known := believed(m, "b")
+	member := other(1, Alive)
+	receiveUpdates(m, member)
+	member.Status = Dead
+	receiveUpdates(m, member)
+	m.Tick(startTime.Add(2 * m.config.ForgetAfter))
+	_, known := findMember(m, "b")
 	is.True(!known)
 	is.Equal(len(m.byControl["b:1"]), 0)
 }
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,37 +1,36 @@
-// Package membership keeps the list of processes of the mesh by gossip.
+// Package membership maintains the list of processes of the mesh by gossip.
 //
-// The design follows SWIM (Das, Gupta, Motivala, 2002): each process probes one
-// other process an interval, in shuffled order, so that the cost for each
-// process does not grow with the mesh. A probe that fails is repeated through
-// other processes. When that fails too, the member is suspected, and after a
-// time without refutation it is declared dead. A suspected member that
-// hears of it refutes by raising its incarnation. What is learned rides on
-// probes and on gossip messages, each of which carries a bounded number of
-// updates.
+// The design follows SWIM (Das, Gupta, Motivala, 2002): in each interval, a process
+// probes one other process, in shuffled order, so that the cost for each process
+// does not grow with the mesh. A probe that fails is repeated through other
+// processes. When that fails too, the member is suspected, and if it does not
+// refute within a time limit, it is declared dead. A suspected member that receives
+// the suspicion refutes it by raising its incarnation. Updates are carried by probes
+// and by gossip messages, each of which holds a bounded number of them.
 //
 // Every message carries a digest of its sender's list. Where digests differ, the
-// two compare the digests of parts of their lists and exchange the parts that
-// differ (anti-entropy). News that comes in bulk this way is not passed on by
-// gossip, so that a mesh that starts at once does not send each record many times
-// to everybody.
+// two processes compare digests of parts of their lists and exchange the parts that
+// differ (anti-entropy). Updates received in bulk this way are not passed on by
+// gossip; otherwise the processes of a mesh that starts all at once would send each
+// record many times to all others.
 //
-// A process that is stopping, or whose back end is, says so itself: Leaving and
-// Down are part of the record that only the member changes.
+// A process that is stopping, or whose back end is down, announces it: Leaving and
+// Down are part of the record that only the member itself changes.
 //
-// Process ids are new at each start. A process that was replaced is a new
-// member, and a record with the same control address and a later start time
-// proves the earlier process dead at once.
+// A process gets a new id at each start, so a restarted process is a new member. A
+// record with the same control address and a higher generation proves the earlier
+// process dead at once.
 //
-// Members that were declared dead are probed now and then for an hour, so that
-// the halves of a mesh that was cut apart find each other again.
+// The addresses of dead members are probed occasionally until the members are
+// forgotten, so that the parts of a partitioned mesh find each other again.
 //
-// One idea comes from Lifeguard (Dadgar, Phillips, Currey, 2017) and is kept
-// because docs/design/membership.md shows what it brings: a suspected member is
-// told so when it sends a message.
+// One extension comes from Lifeguard (Dadgar, Phillips, Currey, 2017): a suspected
+// member is sent the suspicion in the reply to its next message. Its effect is
+// described in docs/design/membership.md.
 //
-// The package owns the list of one process, in memory. Machine is a state machine without
-// I/O, goroutines or clock: plugin/membership passes the time and the messages in, and sends
-// what Tick returns:
+// The package owns the member list of one process, in memory. Machine is a state
+// machine without I/O, goroutines or clock: plugin/membership passes in the time and
+// the messages, and sends what Tick returns:
 //
 //	for each tick:       sends := machine.Tick(now)
 //	for each request:    reply := machine.Receive(now, message)
--- a/membership/join.go
+++ b/membership/join.go
@@ -1,10 +1,11 @@
 package membership
 
-// unknownAddressOdds is the share of probe rounds, one in this many, in which a
-// process that has peers looks for lost parts of the mesh.
+// A process that knows live members tries an unknown address in one of this many probe
+// rounds, to find parts of the mesh that it lost contact with.
 const unknownAddressOdds = 5
 
-// unknownAddress returns a seed or the address of a dead member to try, or "".
+// unknownAddress returns a seed or the address of a dead member to try in this probe
+// round, or "".
 func (m *Machine) unknownAddress() string {
 	candidates, alone := m.unknownAddresses()
 	if !alone && m.config.Random.IntN(unknownAddressOdds) != 0 {
@@ -16,7 +17,7 @@
 	return candidates[m.config.Random.IntN(len(candidates))]
 }
 
-// join compares lists with a few of the addresses where nobody is known.
+// join sends a Sync to a few addresses without a known live member.
 func (m *Machine) join(sends []Send) []Send {
 	candidates, _ := m.unknownAddresses()
 	for range min(m.config.JoinFanout, len(candidates)) {
@@ -27,8 +28,8 @@
 	return sends
 }
 
-// unknownAddresses returns the seeds and the addresses of dead members where
-// nobody is known to be alive, and whether nobody is known at all.
+// unknownAddresses returns the seeds and the addresses of dead members at which no
+// live member is known, and whether no other live member is known at all.
 func (m *Machine) unknownAddresses() (candidates []string, alone bool) {
 	live := map[string]bool{m.self.Control: true}
 	for _, member := range m.Members() {
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -10,31 +10,41 @@
 // Machine is the membership state machine of one process. It is not safe for
 // concurrent use.
 type Machine struct {
-	config     Config
-	self       Member
-	members    map[string]*record   // without self
-	byControl  map[string][]*record // members by control address
-	digests    digests              // of members and self
-	order      []string             // members still to probe in this round
+	config Config
+	self   Member
+	// Members by id, without self.
+	members map[string]*record
+	// Members by control address, without self.
+	byControl map[string][]*record
+	// Digests of all members, self included.
+	digests digests
+	// Ids of the members still to probe in this round, last one first.
+	probeOrder []string
 	updates    updateQueue
-	inBulk     bool // updates that came in bulk are merged: they are not passed on by gossip
-	rounds     int  // gossip rounds still to send without updates
+	// A bulk message is being merged, so its updates are not passed on by gossip.
+	inBulk bool
+	// Gossip rounds still to send without updates.
+	extraRounds int
+	// Addresses tried to find the mesh.
 	seeds      []string
 	started    time.Time
 	nextProbe  time.Time
 	nextGossip time.Time
 	lastSync   time.Time
-	changed    bool
+	// A record has changed since the last TakeChanged.
+	changed bool
 }
 
-// record is a member with what this process keeps of it.
+// record is a member and its state in this process.
 type record struct {
 	Member
-	since    time.Time // time of the last change of status
-	deadline time.Time // of a suspicion
+	// When the status last changed.
+	since time.Time
+	// When a suspect is declared dead.
+	deadline time.Time
 }
 
-// New returns a Machine that knows only itself.
+// New returns a Machine whose list holds only this process.
 func New(config Config, now time.Time) *Machine {
 	config.setDefaults()
 	m := &Machine{
@@ -74,7 +84,7 @@
 	return changed
 }
 
-// SetSeeds replaces the addresses that are tried to find the mesh.
+// SetSeeds replaces the control addresses that are tried to find the mesh.
 func (m *Machine) SetSeeds(addresses []string) { m.seeds = addresses }
 
 // SetState announces whether this process is leaving and whether its back end
@@ -89,7 +99,7 @@
 	})
 }
 
-// SetVotes announces the votes that the caller has now: see Member.Votes.
+// SetVotes announces the votes that the caller now holds. See Member.Votes.
 func (m *Machine) SetVotes(votes []string) {
 	if slices.Equal(m.self.Votes, votes) {
 		return
@@ -100,13 +110,13 @@
 	})
 }
 
-// Announce makes this process send a few rounds of gossip although it has no
-// updates, so that what the caller adds to messages spreads at once.
+// Announce makes this process send a few rounds of gossip even without updates, to
+// spread data that the caller adds to messages.
 func (m *Machine) Announce() {
-	m.rounds = spreadRounds(m.size())
+	m.extraRounds = spreadRounds(m.size())
 }
 
-// updateSelf changes the own record and spreads it.
+// updateSelf changes the record of this process and spreads it.
 func (m *Machine) updateSelf(change func(*Member)) {
 	before := m.self
 	m.digests.toggle(m.self)
@@ -117,7 +127,7 @@
 	m.config.OnChange(before, m.self)
 }
 
-// size is the number of members that are not dead, self included.
+// size returns the number of members that are not dead, self included.
 func (m *Machine) size() int {
 	count := 1
 	for _, known := range m.members {
@@ -128,8 +138,8 @@
 	return count
 }
 
-// spreadRounds is the number of times that an update is passed on by one
-// process in a mesh of the given size.
+// spreadRounds returns the number of messages in which one process passes on an update
+// in a mesh of the given size.
 func spreadRounds(size int) int {
 	return 3 + int(math.Ceil(math.Log2(float64(size+1))))
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -9,26 +9,26 @@
 	"github.com/matryer/is"
 )
 
-var epoch = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func newMachine(id string) *Machine {
 	return New(Config{
 		Self:          Member{ID: id, Control: id + ":1", Generation: 5},
 		ProbeInterval: time.Second,
 		Random:        rand.New(rand.NewPCG(1, 1)),
-	}, epoch)
+	}, startTime)
 }
 
 func other(version uint64, status Status) Member {
 	return Member{ID: "b", Control: "b:1", Generation: 5, Version: version, Status: status}
 }
 
-// news gives a machine the updates of a message from a third process.
-func news(m *Machine, updates ...Member) Message {
-	return m.Receive(epoch, Message{Kind: Gossip, From: Member{ID: "c", Control: "c:1", Generation: 5, Version: 1}, Updates: updates})
+// receiveUpdates delivers updates to a machine in a message from a third process.
+func receiveUpdates(m *Machine, updates ...Member) Message {
+	return m.Receive(startTime, Message{Kind: Gossip, From: Member{ID: "c", Control: "c:1", Generation: 5, Version: 1}, Updates: updates})
 }
 
-func believed(m *Machine, id string) (Member, bool) {
+func findMember(m *Machine, id string) (Member, bool) {
 	for _, member := range m.Members() {
 		if member.ID == id {
 			return member, true
@@ -37,79 +37,83 @@
 	return Member{}, false
 }
 
-func TestWhichNewsCounts(t *testing.T) {
+// At the same incarnation the higher status wins, otherwise the higher incarnation.
+func TestUpdatePrecedence(t *testing.T) {
 	cases := []struct {
-		name string
-		news []Member
-		want Status
+		name    string
+		updates []Member
+		want    Status
 	}{
 		{"alive", []Member{other(1, Alive)}, Alive},
 		{"suspected", []Member{other(1, Alive), other(1, Suspect)}, Suspect},
-		{"contradicted", []Member{other(1, Suspect), other(2, Alive)}, Alive},
+		{"refuted", []Member{other(1, Suspect), other(2, Alive)}, Alive},
 		{"a late suspicion", []Member{other(2, Alive), other(1, Suspect)}, Alive},
 		{"dead", []Member{other(1, Alive), other(1, Dead)}, Dead},
 		{"dead wins over alive of the same incarnation", []Member{other(1, Alive), other(1, Dead), other(1, Alive)}, Dead},
-		{"it came back", []Member{other(1, Alive), other(1, Dead), other(2, Alive)}, Alive},
+		{"alive again after death", []Member{other(1, Alive), other(1, Dead), other(2, Alive)}, Alive},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			m := newMachine("a")
-			for _, update := range c.news {
-				news(m, update)
+			for _, update := range c.updates {
+				receiveUpdates(m, update)
 			}
-			got, known := believed(m, "b")
+			got, known := findMember(m, "b")
 			is.True(known)
 			is.Equal(got.Status, c.want)
 		})
 	}
 }
 
-func TestALaterProcessAtTheSameAddressProvesTheEarlierDead(t *testing.T) {
+// A process with a higher generation proves the one it replaced at its address dead.
+func TestSuccessorReplacesProcessAtSameAddress(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
-	news(m, other(9, Alive))
+	receiveUpdates(m, other(9, Alive))
 	successor := Member{ID: "b2", Control: "b:1", Generation: 6, Version: 1}
-	news(m, successor)
-	former, _ := believed(m, "b")
+	receiveUpdates(m, successor)
+	former, _ := findMember(m, "b")
 	is.Equal(former.Status, Dead)
-	news(m, other(10, Alive)) // a late message of the earlier process
-	current, known := believed(m, "b2")
+	receiveUpdates(m, other(10, Alive)) // a late message of the earlier process
+	current, known := findMember(m, "b2")
 	is.True(known)
 	is.Equal(current.Status, Alive)
 }
 
-func TestASuspectedProcessContradicts(t *testing.T) {
+func TestSuspectedProcessRefutes(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
 	self := m.Self()
 	self.Status = Suspect
-	reply := news(m, self)
+	reply := receiveUpdates(m, self)
 	is.Equal(reply.From.Version, self.Version+1)
 	is.Equal(m.Self().Status, Alive)
 }
 
-func TestASenderThatIsBelievedDeadIsToldSo(t *testing.T) {
+// A sender that is dead in the receiver's list must receive that record, so that it can
+// refute.
+func TestDeadSenderReceivesItsRecord(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
-	news(m, other(1, Alive), other(1, Dead))
-	reply := m.Receive(epoch, Message{Kind: Ping, From: other(1, Alive)})
-	told := false
+	receiveUpdates(m, other(1, Alive), other(1, Dead))
+	reply := m.Receive(startTime, Message{Kind: Ping, From: other(1, Alive)})
+	reported := false
 	for _, update := range reply.Updates {
-		told = told || (update.ID == "b" && update.Status == Dead)
+		reported = reported || (update.ID == "b" && update.Status == Dead)
 	}
-	is.True(told)
+	is.True(reported)
 }
 
-func TestMessagesAreBounded(t *testing.T) {
+func TestMessageSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	m := newMachine("a")
 	for i := range 500 {
-		news(m, Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Version: 1})
+		receiveUpdates(m, Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Version: 1})
 	}
-	reply := m.Receive(epoch, Message{Kind: Ping, From: other(1, Alive)})
-	is.True(len(reply.Updates) <= 17) // 16 and the sender's own record at most
-	is.Equal(len(m.Receive(epoch, Message{Kind: Sync, From: other(1, Alive)}).Updates), len(m.Members()))
+	reply := m.Receive(startTime, Message{Kind: Ping, From: other(1, Alive)})
+	is.True(len(reply.Updates) <= 17) // at most 16 updates and the sender's own record
+	is.Equal(len(m.Receive(startTime, Message{Kind: Sync, From: other(1, Alive)}).Updates), len(m.Members()))
 }
 
 func ExampleMachine() {
@@ -130,33 +134,33 @@
 	// right alive
 }
 
-// TestASuccessorWithAnEarlierClockIsBelieved: a process is killed, the time of
-// day of its machine is set back, and it starts again at the same address.
-func TestASuccessorWithAnEarlierClockIsBelieved(t *testing.T) {
+// A process that restarts at the same address after its machine's time of day was set back
+// must still replace its predecessor.
+func TestSuccessorWithEarlierClockReplacesPredecessor(t *testing.T) {
 	is := is.New(t)
 	peer := newMachine("a")
 	former := Member{ID: "former", Control: "x:1", Generation: 2000, Version: 7}
-	peer.Receive(epoch, Message{Kind: Gossip, From: former})
+	peer.Receive(startTime, Message{Kind: Gossip, From: former})
 	successor := New(Config{
 		Self:          Member{ID: "successor", Control: "x:1", Generation: 1000},
 		ProbeInterval: time.Second,
 		Random:        rand.New(rand.NewPCG(1, 1)),
-	}, epoch)
+	}, startTime)
 
-	reply := peer.Receive(epoch, successor.PingMessage())
-	successor.Replied(epoch, Send{To: "a:1", Message: Message{Kind: Ping}}, reply)
-	peer.Receive(epoch, successor.PingMessage())
+	reply := peer.Receive(startTime, successor.PingMessage())
+	successor.Replied(startTime, Send{To: "a:1", Message: Message{Kind: Ping}}, reply)
+	peer.Receive(startTime, successor.PingMessage())
 
-	seen, known := believed(peer, "successor")
+	seen, known := findMember(peer, "successor")
 	is.True(known)
 	is.Equal(seen.Status, Alive)
-	gone, _ := believed(peer, "former")
-	is.Equal(gone.Status, Dead)
+	predecessor, _ := findMember(peer, "former")
+	is.Equal(predecessor.Status, Dead)
 }
 
-// TestAMeshThatStartsAtOnceJoinsWithinASecond: all processes were killed and
-// start again; each is given all addresses.
-func TestAMeshThatStartsAtOnceJoinsWithinASecond(t *testing.T) {
+// When all processes of a mesh start at once with all addresses as seeds, each must know
+// all others within a second.
+func TestSimultaneousStartJoinsWithinSecond(t *testing.T) {
 	is := is.New(t)
 	const size = 12
 	addresses := []string{}
@@ -168,13 +172,13 @@
 			Self:          Member{ID: id, Control: id + ":1", Generation: int64(i + 1)},
 			ProbeInterval: time.Second,
 			Random:        rand.New(rand.NewPCG(uint64(i), 1)),
-		}, epoch)
+		}, startTime)
 	}
 	for _, machine := range machines {
 		machine.SetSeeds(addresses)
 	}
 	for at := time.Duration(0); at <= time.Second; at += 100 * time.Millisecond {
-		now := epoch.Add(at)
+		now := startTime.Add(at)
 		for _, address := range addresses {
 			machine := machines[address]
 			for _, send := range machine.Tick(now) {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// apply merges a record that was received.
+// apply merges a received record.
 func (m *Machine) apply(now time.Time, received Member) {
 	if received.ID == m.self.ID {
 		m.refute(received)
 		return
 	}
-	if m.replaced(now, received) {
+	if m.resolveAddressConflict(now, received) {
 		return
 	}
 	known, exists := m.members[received.ID]
@@ -32,7 +32,8 @@
 	return a.Status > b.Status
 }
 
-// refute answers a record that says that this process is suspected or dead.
+// refute raises the incarnation of this process if the received record declares it
+// suspected or dead.
 func (m *Machine) refute(received Member) {
 	if received.Version < m.self.Version || received.Status == Alive {
 		return
@@ -40,10 +41,10 @@
 	m.updateSelf(func(self *Member) { self.Version = received.Version + 1 })
 }
 
-// outlive goes above the generation of a predecessor that others still take for
-// the process at this address, as they do when the time of day was set back
-// before this process started.
-func (m *Machine) outlive(predecessor Member) {
+// raiseGeneration raises the generation of this process above that of a predecessor at
+// its address that others still take to be alive. This happens when the machine's time of
+// day was set back before this process started.
+func (m *Machine) raiseGeneration(predecessor Member) {
 	if predecessor.Status == Dead || predecessor.Generation < m.self.Generation {
 		return
 	}
@@ -53,11 +54,11 @@
 	})
 }
 
-// replaced handles two records with one control address: the process with the
-// lower generation is dead. It reports whether received is that process.
-func (m *Machine) replaced(now time.Time, received Member) bool {
+// resolveAddressConflict handles two members with the same control address: the one with
+// the lower generation is dead. It reports whether received must be ignored.
+func (m *Machine) resolveAddressConflict(now time.Time, received Member) bool {
 	if received.Control == m.self.Control {
-		m.outlive(received)
+		m.raiseGeneration(received)
 		return true
 	}
 	for _, known := range m.byControl[received.Control] {
@@ -68,15 +69,15 @@
 			return known.Status != Dead
 		}
 		if known.Status != Dead {
-			gone := known.Member
-			gone.Status = Dead
-			m.replace(now, known, gone)
+			dead := known.Member
+			dead.Status = Dead
+			m.replace(now, known, dead)
 		}
 	}
 	return false
 }
 
-// add takes a member that was not known. A dead one is not worth remembering.
+// add adds an unknown member, unless it is dead.
 func (m *Machine) add(now time.Time, received Member) {
 	if received.Status == Dead {
 		return
@@ -88,7 +89,7 @@
 	m.config.OnChange(Member{}, received)
 }
 
-// replace takes a later record of a member.
+// replace replaces the record of a member by a later one.
 func (m *Machine) replace(now time.Time, known *record, received Member) {
 	before := known.Member
 	m.digests.toggle(before)
@@ -96,7 +97,7 @@
 	m.config.OnChange(before, received)
 }
 
-// set stores a record, starts a suspicion where it begins and passes it on.
+// set stores a record, sets the deadline of a suspect and queues the record for gossip.
 func (m *Machine) set(now time.Time, known *record, received Member) {
 	if known.Status != received.Status {
 		known.since = now
@@ -112,7 +113,7 @@
 	m.changed = true
 }
 
-// forget removes a member that has been dead for long.
+// forget removes a member from the list.
 func (m *Machine) forget(known *record) {
 	m.digests.toggle(known.Member)
 	delete(m.members, known.ID)
@@ -124,7 +125,7 @@
 	m.changed = true
 }
 
-// suspicionTime is how long a suspect has to refute.
+// suspicionTime returns how long a suspect has to refute.
 func (m *Machine) suspicionTime() time.Duration {
 	scale := max(1, math.Log10(float64(m.size())))
 	return time.Duration(m.config.SuspicionIntervals * scale * float64(m.config.ProbeInterval))
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -4,14 +4,18 @@
 
 // probe is one attempt to reach a member.
 type probe struct {
-	target  string
-	pending int  // indirect answers still missing
-	done    bool // answered, or given up
-	failed  bool // the direct probe has
+	// Id of the probed member.
+	target string
+	// Indirect probes without a reply so far.
+	pending int
+	// The target replied, or all probes failed.
+	done bool
+	// The direct probe failed.
+	failed bool
 }
 
-// startProbe probes the next member, and sometimes an address where part of
-// the mesh may be that this process does not know.
+// startProbe probes the next member and, in some rounds, sends a Sync to an address
+// without a known live member.
 func (m *Machine) startProbe(sends []Send) []Send {
 	if target := m.nextTarget(); target != nil {
 		started := &probe{target: target.ID}
@@ -23,24 +27,25 @@
 	return sends
 }
 
-// nextTarget returns the next live member of the shuffled round.
+// nextTarget returns the next live member of the shuffled round and starts a new round
+// when it is complete. It returns nil if there is no live member.
 func (m *Machine) nextTarget() *record {
 	for range 2 {
-		for len(m.order) > 0 {
-			id := m.order[len(m.order)-1]
-			m.order = m.order[:len(m.order)-1]
+		for len(m.probeOrder) > 0 {
+			id := m.probeOrder[len(m.probeOrder)-1]
+			m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
 			if known, exists := m.members[id]; exists && known.Status != Dead {
 				return known
 			}
 		}
-		m.order = m.liveIDs()
-		m.config.Random.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
+		m.probeOrder = m.liveIDs()
+		m.config.Random.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
 	return nil
 }
 
-// liveIDs returns the ids of live members in order, so that a shuffle with a
-// seeded source is repeatable.
+// liveIDs returns the ids of the other live members in order, so that a shuffle with a
+// seeded source is reproducible.
 func (m *Machine) liveIDs() []string {
 	ids := make([]string, 0, len(m.members))
 	for _, member := range m.Members() {
@@ -51,19 +56,19 @@
 	return ids
 }
 
-// probeAnswered takes the answer to a direct probe, or to an indirect one, which may say that
-// the target did not answer either.
-func (m *Machine) probeAnswered(now time.Time, sent Send, reply Message) {
+// handleProbeReply handles the reply to a direct or indirect probe. The reply to an indirect
+// probe has OK unset if the target did not reply.
+func (m *Machine) handleProbeReply(now time.Time, sent Send, reply Message) {
 	if sent.Message.Kind == Ping || reply.OK {
 		sent.probe.done = true
 		return
 	}
 	sent.probe.pending--
-	m.giveUp(now, sent.probe)
+	m.suspectIfFailed(now, sent.probe)
 }
 
-// probeThroughOthers asks other members to repeat a failed probe.
-func (m *Machine) probeThroughOthers(now time.Time, current *probe) []Send {
+// probeIndirectly asks other members to repeat a failed probe.
+func (m *Machine) probeIndirectly(now time.Time, current *probe) []Send {
 	current.failed = true
 	target, exists := m.members[current.target]
 	if !exists || target.Status == Dead {
@@ -84,13 +89,13 @@
 		sends = append(sends, through)
 	}
 	current.pending = len(sends)
-	m.giveUp(now, current)
+	m.suspectIfFailed(now, current)
 	return sends
 }
 
-// giveUp suspects the target once the direct probe and all indirect ones have
+// suspectIfFailed suspects the target once the direct probe and all indirect ones have
 // failed.
-func (m *Machine) giveUp(now time.Time, current *probe) {
+func (m *Machine) suspectIfFailed(now time.Time, current *probe) {
 	if current.done || !current.failed || current.pending > 0 {
 		return
 	}
--- a/membership/protocol.go
+++ b/membership/protocol.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Tick does what is due at the given time and returns the messages to send. It
-// should be called a few times in each GossipInterval.
+// Tick performs the work due at the given time and returns the messages to send. It
+// should be called several times in each GossipInterval.
 func (m *Machine) Tick(now time.Time) []Send {
 	m.expire(now)
 	sends := []Send{}
@@ -21,29 +21,31 @@
 	return sends
 }
 
-// expire declares suspects dead and forgets members that are dead for long.
+// expire declares suspects dead at their deadline and forgets members that have been
+// dead for longer than ForgetAfter.
 func (m *Machine) expire(now time.Time) {
 	for _, known := range m.members {
 		switch {
 		case known.Status == Suspect && now.After(known.deadline):
-			gone := known.Member
-			gone.Status = Dead
-			m.replace(now, known, gone)
+			dead := known.Member
+			dead.Status = Dead
+			m.replace(now, known, dead)
 		case known.Status == Dead && now.Sub(known.since) > m.config.ForgetAfter:
 			m.forget(known)
 		}
 	}
 }
 
-// gossip sends updates to a few random members while there are any.
+// gossip sends queued updates to GossipFanout random members. Without updates, it sends
+// only the rounds requested by Announce.
 func (m *Machine) gossip(now time.Time, sends []Send) []Send {
-	if len(m.updates.items) == 0 && m.rounds == 0 {
+	if len(m.updates.items) == 0 && m.extraRounds == 0 {
 		return sends
 	}
-	m.rounds = max(m.rounds-1, 0)
+	m.extraRounds = max(m.extraRounds-1, 0)
 	ids := m.liveIDs()
 	if len(ids) == 0 {
-		m.updates.items = nil // nobody to tell; joining compares lists
+		m.updates.items = nil // no receivers; a member that joins later compares lists
 		return sends
 	}
 	for range min(m.config.GossipFanout, len(ids)) {
@@ -59,9 +61,10 @@
 	return Send{To: to, Message: m.message(kind), probe: of}
 }
 
-// message builds a message with updates.
+// message builds a message with queued updates, or with the digests of all buckets if
+// it is a Sync.
 func (m *Machine) message(kind Kind) Message {
-	built := Message{Kind: kind, From: m.self, Digest: m.digests.whole()}
+	built := Message{Kind: kind, From: m.self, Digest: m.digests.combined()}
 	if kind == Sync {
 		built.Buckets = m.digests.pack()
 	} else {
@@ -70,37 +73,38 @@
 	return built
 }
 
-// compare answers a Sync with the parts of the list that the sender has otherwise.
-func (m *Machine) compare(asked Message) Message {
+// replyToSync replies with the members in the buckets that differ from the sender's.
+func (m *Machine) replyToSync(asked Message) Message {
 	reply := m.message(Sync)
 	reply.Updates = m.membersIn(m.digests.differing(asked.Buckets))
 	return reply
 }
 
-// complete answers the answer to a Sync with the parts that its sender still has
-// otherwise, now that what it sent is known here.
-func (m *Machine) complete(to string, reply Message) []Send {
+// pushMissing handles the reply to a Sync, after its updates were merged: it sends back
+// the members in the buckets that still differ.
+func (m *Machine) pushMissing(to string, reply Message) []Send {
 	missing := m.membersIn(m.digests.differing(reply.Buckets))
 	if len(missing) == 0 {
 		return nil
 	}
-	push := Message{Kind: Gossip, From: m.self, Digest: m.digests.whole(), Updates: missing}
+	push := Message{Kind: Gossip, From: m.self, Digest: m.digests.combined(), Updates: missing}
 	return []Send{{To: to, Message: push}}
 }
 
-// PingMessage returns a message for a probe on behalf of another process.
+// PingMessage returns the message with which the caller probes a target on behalf of
+// another process.
 func (m *Machine) PingMessage() Message { return m.message(Ping) }
 
-// Receive handles a message and returns the answer. For PingThrough the caller
-// probes the target itself and sets OK in the answer.
+// Receive handles a message and returns the reply. For PingThrough, the caller
+// probes the target and sets OK in the reply.
 func (m *Machine) Receive(now time.Time, message Message) Message {
-	m.learn(now, message)
+	m.mergeMessage(now, message)
 	if message.Kind == Sync {
-		return m.compare(message)
+		return m.replyToSync(message)
 	}
 	reply := m.message(message.Kind)
-	// A sender that is suspected or believed dead here is told so, and can
-	// refute at once.
+	// A sender that is suspected or dead in this list receives that record, so
+	// that it can refute at once.
 	if known, exists := m.members[message.From.ID]; exists && known.Status != Alive {
 		reply.Updates = append(reply.Updates, known.Member)
 	} else if !exists {
@@ -109,8 +113,8 @@
 	return reply
 }
 
-// successors returns the members that are taken here for the process at the
-// address of a sender that is not known, so that it can refute.
+// successors returns the live members recorded at the address of an unknown sender, so
+// that the sender can raise its generation above theirs.
 func (m *Machine) successors(sender Member) []Member {
 	found := []Member{}
 	for _, known := range m.byControl[sender.Control] {
@@ -121,24 +125,24 @@
 	return found
 }
 
-// Replied handles the answer to a message.
+// Replied handles the reply to a message and returns further messages to send.
 func (m *Machine) Replied(now time.Time, sent Send, reply Message) []Send {
-	m.learn(now, reply)
+	m.mergeMessage(now, reply)
 	if sent.probe != nil {
-		m.probeAnswered(now, sent, reply)
+		m.handleProbeReply(now, sent, reply)
 	}
 	if sent.Message.Kind == Sync {
-		return m.complete(sent.To, reply)
+		return m.pushMissing(sent.To, reply)
 	}
-	if reply.Digest != m.digests.whole() && sent.Message.Kind == Ping && now.Sub(m.lastSync) >= m.config.SyncInterval {
+	if reply.Digest != m.digests.combined() && sent.Message.Kind == Ping && now.Sub(m.lastSync) >= m.config.SyncInterval {
 		m.lastSync = now
 		return []Send{m.send(sent.To, Sync, nil)}
 	}
 	return nil
 }
 
-// learn merges a message.
-func (m *Machine) learn(now time.Time, message Message) {
+// mergeMessage merges the sender's record and the updates of a message.
+func (m *Machine) mergeMessage(now time.Time, message Message) {
 	m.apply(now, message.From)
 	m.inBulk = len(message.Updates) > m.config.MaximumUpdates
 	defer func() { m.inBulk = false }()
@@ -147,17 +151,17 @@
 	}
 }
 
-// Failed handles a message that could not be delivered or was not answered in
-// time. It returns further messages to send.
+// Failed handles a message that could not be delivered or got no reply within
+// ProbeTimeout. It returns further messages to send.
 func (m *Machine) Failed(now time.Time, sent Send) []Send {
 	current := sent.probe
 	if current == nil || current.done {
 		return nil
 	}
 	if sent.Message.Kind == Ping {
-		return m.probeThroughOthers(now, current)
+		return m.probeIndirectly(now, current)
 	}
 	current.pending--
-	m.giveUp(now, current)
+	m.suspectIfFailed(now, current)
 	return nil
 }
--- a/membership/types.go
+++ b/membership/types.go
@@ -1,9 +1,9 @@
 package membership
 
-// Status is what the mesh believes of a member.
+// Status is the state of a member as seen by the mesh.
 type Status int
 
-// Statuses. At the same incarnation the higher one wins.
+// Statuses of a member. At the same incarnation, the higher one wins.
 const (
 	Alive Status = iota
 	Suspect
@@ -20,26 +20,33 @@
 	return statusNames[s]
 }
 
-// Member is what is known of one process.
+// Member is the record of one process.
 type Member struct {
-	ID      string `json:"id"`
-	Control string `json:"ctl"`           // address for control messages
-	Traffic string `json:"trf,omitempty"` // address for requests; empty for gateways
+	ID string `json:"id"`
+	// Control is the address for control messages.
+	Control string `json:"ctl"`
+	// Traffic is the address for requests. Empty for gateways.
+	Traffic string `json:"trf,omitempty"`
 	Region  string `json:"reg,omitempty"`
 	Zone    string `json:"zon,omitempty"`
-	Service string `json:"svc,omitempty"` // empty for gateways
-	// Generation tells processes apart that follow each other at one control
-	// address: the highest one is there now. A process begins with its time of
-	// day in Unix milliseconds, which may be wrong, and goes above that of a
-	// predecessor that it hears of.
-	Generation int64  `json:"st"`
-	Version    uint64 `json:"inc"` // incarnation, raised by the member itself
-	Status     Status `json:"sta,omitempty"`
-	Leaving    bool   `json:"lv,omitempty"` // takes no new requests
-	Down       bool   `json:"dn,omitempty"` // its back end refuses connections
-	Accuser    string `json:"by,omitempty"` // who suspects it
-	// Votes lists the votes of other claim replicas that the member has; the machine does
-	// not look at it.
+	// Service is empty for gateways.
+	Service string `json:"svc,omitempty"`
+	// Generation orders the processes that run one after another at a control
+	// address: the highest one is the current process. It is the start time in Unix
+	// milliseconds. As that clock may be wrong, a process that receives the record
+	// of a predecessor raises its generation above it.
+	Generation int64 `json:"st"`
+	// Version is the incarnation. Only the member itself raises it.
+	Version uint64 `json:"inc"`
+	Status  Status `json:"sta,omitempty"`
+	// Leaving reports that the member takes no new requests.
+	Leaving bool `json:"lv,omitempty"`
+	// Down reports that the member's back end refuses connections.
+	Down bool `json:"dn,omitempty"`
+	// Accuser is the id of the process that suspects the member.
+	Accuser string `json:"by,omitempty"`
+	// Votes lists the votes of other claim replicas that the member holds. Machine
+	// does not interpret it.
 	Votes []string `json:"pl,omitempty"`
 }
 
@@ -48,29 +55,33 @@
 
 // Kinds of messages.
 const (
-	Ping        Kind = iota // are you there
-	PingThrough             // is the target there, ask it for me
-	Gossip                  // updates only
-	Sync                    // compare lists, and exchange the parts that differ
+	Ping        Kind = iota // probes the receiver
+	PingThrough             // asks the receiver to probe Target
+	Gossip                  // carries updates only
+	Sync                    // compares lists and exchanges the parts that differ
 )
 
-// Message is what processes send to each other and answer with.
+// Message is a request or a reply between two processes.
 type Message struct {
-	Kind    Kind     `json:"kind"`
-	From    Member   `json:"from"`
-	Target  string   `json:"target,omitempty"` // PingThrough: control address to probe
+	Kind Kind   `json:"kind"`
+	From Member `json:"from"`
+	// Target is the control address to probe, with PingThrough.
+	Target  string   `json:"target,omitempty"`
 	Updates []Member `json:"updates,omitempty"`
-	Digest  uint64   `json:"digest"` // of the sender's whole list
-	// Buckets are the digests of the parts of the sender's list, on Sync and its
-	// answer: 32 bits each, least significant byte first. A Sync without them is
-	// answered with the whole list.
+	// Digest is a hash of the sender's complete list.
+	Digest uint64 `json:"digest"`
+	// Buckets holds the digests of the buckets of the sender's list, in a Sync and
+	// its reply: 32 bits each, least significant byte first. The reply to a Sync
+	// without them holds the complete list.
 	Buckets []byte `json:"buckets,omitempty"`
-	OK      bool   `json:"ok,omitempty"` // answer to PingThrough
+	// OK reports that Target replied, in the reply to PingThrough.
+	OK bool `json:"ok,omitempty"`
 }
 
-// Send asks the caller to deliver a message.
+// Send is a message that the caller must deliver.
 type Send struct {
-	To      string // control address
+	// To is the control address of the receiver.
+	To      string
 	Message Message
 	probe   *probe // nil unless part of a probe
 }
--- a/membership/updates.go
+++ b/membership/updates.go
@@ -2,15 +2,16 @@
 
 import "sort"
 
-// updateQueue holds the updates that are still to be passed on. Those that were
-// sent least often go first.
+// updateQueue holds the updates still to be passed on. Those sent the fewest times are
+// taken first.
 type updateQueue struct {
 	items []queuedUpdate
 }
 
 type queuedUpdate struct {
 	member Member
-	sent   int // how many messages have carried it
+	// Number of messages that carried the update.
+	sent int
 }
 
 // add queues an update and drops an older one of the same member.
@@ -24,7 +25,8 @@
 	q.items = append(q.items, queuedUpdate{member: member})
 }
 
-// take returns at most count updates and forgets those sent limit times.
+// take returns at most count updates for a message and removes those that have then been
+// sent limit times.
 func (q *updateQueue) take(count, limit int) []Member {
 	if len(q.items) == 0 {
 		return nil
