--- a/policy/class.go
+++ b/policy/class.go
@@ -2,15 +2,15 @@
 
 import "github.com/loomcleat/loomcleat/result"
 
-// Class is the importance of a user request. Under overload, lower classes are
-// refused before higher ones.
+// Class is the importance of a user request. Under overload, requests of lower
+// classes are refused first.
 type Class int
 
-// Classes from the least to the most important.
+// Classes in ascending order of importance.
 const (
 	Bulk        Class = iota // exports, prefetching, batch work
-	Default                  // everything that is not marked
-	Interactive              // a person waits for the answer
+	Default                  // requests without a class
+	Interactive              // a user is waiting for the answer
 	Critical                 // payments, transfers
 )
 
--- a/policy/edit.go
+++ b/policy/edit.go
@@ -9,15 +9,18 @@
 
 // Change sets or unsets one key of one entry.
 type Change struct {
-	Path  string `json:"path"`
-	Key   string `json:"key"`             // empty with Unset: the whole entry
-	Value string `json:"value,omitempty"` // as text, for example "250ms"
+	Path string `json:"path"`
+	// Key is a name from FieldNames. Empty with Unset, it removes the entry.
+	Key string `json:"key"`
+	// Value is the new value as text, such as "250ms".
+	Value string `json:"value,omitempty"`
 	Unset bool   `json:"unset,omitempty"`
 }
 
-// Apply returns a copy of d with the edit applied, its revision raised by one
-// and the edit recorded. It returns a result.PolicyInvalid error and leaves d
-// alone when a change or the resulting tree is not acceptable.
+// Apply returns a copy of d with the changes applied, the revision raised by one
+// and the edit added to the history. d is not changed. The error has code
+// result.NotFound if an entry to unset does not exist, and result.PolicyInvalid
+// if a change or the resulting document is invalid.
 func (d *Document) Apply(id, author string, now time.Time, changes []Change) (*Document, error) {
 	if len(changes) == 0 {
 		return nil, result.New(result.PolicyInvalid, "an edit needs at least one change")
@@ -50,7 +53,7 @@
 	}
 	f, err := findField(change.Key)
 	if err != nil {
-		return atPath(change.Path, err)
+		return withPath(change.Path, err)
 	}
 	if err := f.parse(&settings, change.Value); err != nil || !f.valid(&settings) {
 		return result.New(result.PolicyInvalid, "%s: %s=%q is not allowed; allowed: %s", change.Path, change.Key, change.Value, f.allowed)
@@ -69,7 +72,7 @@
 	}
 	f, err := findField(change.Key)
 	if err != nil {
-		return atPath(change.Path, err)
+		return withPath(change.Path, err)
 	}
 	f.unset(&settings)
 	if settings == (Settings{}) {
@@ -80,7 +83,7 @@
 	return nil
 }
 
-func atPath(path string, err error) error {
+func withPath(path string, err error) error {
 	var typed *result.Error
 	if errors.As(err, &typed) {
 		return result.New(typed.Code, "%s: %s", path, typed.Message)
@@ -88,7 +91,8 @@
 	return result.Wrap(result.PolicyInvalid, err, "%s", path)
 }
 
-// Check verifies every entry and that service names are unique.
+// Check validates all entries, routes and tenants and verifies that service names are
+// unique. Errors have code result.PolicyInvalid.
 func (d *Document) Check() error {
 	owners := make(map[string]string)
 	for _, text := range d.Paths() {
@@ -123,8 +127,8 @@
 	return d.checkConcurrency()
 }
 
-// checkConcurrency verifies that no entry resolves to a minimum above its
-// maximum.
+// checkConcurrency verifies that no entry resolves to a ConcurrencyMin above its
+// ConcurrencyMax.
 func (d *Document) checkConcurrency() error {
 	index := NewIndex(d)
 	for _, text := range d.Paths() {
--- a/policy/editor/editor.go
+++ b/policy/editor/editor.go
@@ -1,9 +1,13 @@
-// Package editor changes the policy tree in the platform's store, so that
-// operators may race each other and the store may lose its answers.
+// Package editor edits the policy document in the platform's store. It tolerates
+// concurrent edits and lost replies of the store.
 //
-// Each edit has an id that is written with it. When the answer to a write is
-// lost, the editor reads the tree back and looks for the id, so that the
-// operator learns whether the edit is in force and no edit is applied twice.
+// Edits are written by compare-and-swap. Each has an id that is written with it. When
+// the reply to a write is lost, the editor reads the document again and searches its
+// history for the id. It can then report whether the edit took effect, and never
+// applies an edit twice.
+//
+// The package owns the key of the document in the store. It keeps no state between
+// edits.
 package editor
 
 import (
@@ -19,10 +23,10 @@
 	"github.com/loomcleat/loomcleat/store"
 )
 
-// Key is the key of the policy tree in the store.
+// Key is the key of the policy document in the store.
 const Key = "loomcleat/policy"
 
-// Editor edits the policy tree.
+// Editor edits the policy document in a store on behalf of one author.
 type Editor struct {
 	store  store.Store
 	author string
@@ -34,8 +38,8 @@
 	return &Editor{store: store, author: author, now: time.Now}
 }
 
-// Read returns the tree in the store and its index. A store without a tree
-// gives an empty one at revision 0.
+// Read returns the document in the store and the store's index of it. If there is none,
+// it returns an empty document at revision 0 and index 0.
 func Read(ctx context.Context, store store.Store) (*policy.Document, uint64, error) {
 	entry, err := store.Get(ctx, Key)
 	if err != nil {
@@ -48,23 +52,23 @@
 	return document, entry.Index, err
 }
 
-// Bounds of the attempts to write an edit. With 50 of them, up to half a second apart, the
-// time that the command was given ends most edits first. Estimates.
+// Bounds of the attempts to write an edit. They are so many that usually the context's
+// deadline ends an edit first.
 const (
 	maximumAttempts = 50
-	// firstBackoff is the longest wait before the second attempt; it doubles with each
-	// further one, up to maximumBackoff.
+	// The wait before attempt n, counted from 0, is random: up to firstBackoff<<n, but
+	// at most maximumBackoff.
 	firstBackoff   = 5 * time.Millisecond
 	maximumBackoff = 500 * time.Millisecond
 )
 
-// Apply writes the changes as one edit and returns the tree that contains it.
+// Apply writes the changes as one edit and returns the document that contains it.
 // The error has code
 //
-//	PolicyInvalid, NotFound  the edit is not acceptable; nothing was written
-//	StoreUnavailable         the store did not answer; nothing was written
-//	EditConflict             others kept writing; nothing was written
-//	EditOutcomeUnknown       ctx ended before the store said what happened
+//	PolicyInvalid, NotFound  the edit is invalid; nothing was written
+//	StoreUnavailable         the store did not reply; nothing was written
+//	EditConflict             concurrent edits won each attempt; nothing was written
+//	EditOutcomeUnknown       the store did not confirm whether the edit was written
 func (e *Editor) Apply(ctx context.Context, changes []policy.Change) (*policy.Document, error) {
 	id := uuid.NewString()
 	uncertain := false // an earlier write of this edit may still take effect
@@ -112,7 +116,7 @@
 	return nil, final, err
 }
 
-// pause waits with a random backoff and reports whether ctx is still alive.
+// pause waits for a random backoff. It reports false if ctx ended first.
 func pause(ctx context.Context, attempt int) bool {
 	limit := min(firstBackoff<<min(attempt, 10), maximumBackoff)
 	timer := time.NewTimer(rand.N(limit) + time.Millisecond)
--- a/policy/editor/editor_test.go
+++ b/policy/editor/editor_test.go
@@ -30,7 +30,8 @@
 	return []policy.Change{{Path: path, Key: key, Value: value}}
 }
 
-func TestRacingOperatorsLoseNoEdit(t *testing.T) {
+// Concurrent edits must all take effect, each exactly once.
+func TestConcurrentEditsAreNotLost(t *testing.T) {
 	is := is.New(t)
 	_, store := newStore(t)
 	const operators, edits = 6, 5
@@ -50,16 +51,18 @@
 	document, _, err := Read(t.Context(), store)
 	is.NoErr(err)
 	is.Equal(len(document.Entries), operators*edits)
-	is.Equal(document.Revision, uint64(operators*edits)) // each edit once
+	is.Equal(document.Revision, uint64(operators*edits)) // an edit was lost or applied twice
 }
 
-func TestFaults(t *testing.T) {
+// Apply must return the right code under faults of the store and for invalid edits, and an
+// edit must be written exactly when it returns success.
+func TestApplyResultCodes(t *testing.T) {
 	cases := []struct {
 		name     string
 		faults   consul.Faults
 		changes  []policy.Change
 		code     result.Code // 0: accepted
-		revision uint64      // after the fault has ended
+		revision uint64      // read after the fault was removed
 	}{
 		{"healthy", consul.Faults{}, set("t/f/s", "retry_budget", "5"), 0, 1},
 		{"answer lost after the write", consul.Faults{LoseAnswers: 1}, set("t/f/s", "retry_budget", "5"), 0, 1},
@@ -70,7 +73,7 @@
 		{"unknown key", consul.Faults{}, set("t/f/s", "colour", "red"), result.PolicyInvalid, 0},
 		{"wrong unit", consul.Faults{}, set("t/f/s", "deadline", "5 apples"), result.PolicyInvalid, 0},
 		{"bad path", consul.Faults{}, set("t/f/s/x/y", "class", "bulk"), result.PolicyInvalid, 0},
-		{"unset of what is not there", consul.Faults{}, []policy.Change{{Path: "t", Unset: true}}, result.NotFound, 0},
+		{"unset of a missing entry", consul.Faults{}, []policy.Change{{Path: "t", Unset: true}}, result.NotFound, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/editor/golden_test.go
+++ b/policy/editor/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/loomcleat/loomcleat/policy/editor"
 )
 
-func TestTheKeyInTheStore(t *testing.T) {
+func TestStoreKey(t *testing.T) {
 	is := is.New(t)
 	is.Equal(editor.Key, "loomcleat/policy")
 }
--- a/policy/effective.go
+++ b/policy/effective.go
@@ -5,30 +5,34 @@
 	"time"
 )
 
-// Effective is what the tree says of one call after inheritance.
+// Effective holds the settings of one call after inheritance. Fields are as in Settings
+// unless described here.
 type Effective struct {
-	Path        string `json:"path"` // the most specific entry that matched
-	Service     string `json:"service"`
-	Known       bool   `json:"known"` // the service has an entry in the tree
-	Class       Class  `json:"class"`
-	Repeatable  bool   `json:"repeatable"`
-	RetryBudget int    `json:"retry_budget"`
-	// MaximumAttempts is the number of back ends that one call may be sent to, 0
-	// when only budgets bound it. It comes from the route.
+	// Path is the path of the most specific entry that matched, or the name of the
+	// route prefixed by "route:".
+	Path    string `json:"path"`
+	Service string `json:"service"`
+	// Known reports that the service has an entry in the tree or that a route applies.
+	Known       bool  `json:"known"`
+	Class       Class `json:"class"`
+	Repeatable  bool  `json:"repeatable"`
+	RetryBudget int   `json:"retry_budget"`
+	// MaximumAttempts is the maximum number of back ends that one call is sent to,
+	// set by the route. 0: only the retry budgets bound it.
 	MaximumAttempts int           `json:"max_attempts,omitempty"`
 	RetryRatio      float64       `json:"retry_ratio"`
 	Deadline        time.Duration `json:"deadline_ns"`
 	ConcurrencyMin  int           `json:"concurrency_min"`
 	ConcurrencyMax  int           `json:"concurrency_max"`
 	QueueTime       time.Duration `json:"queue_time_ns"`
-	// TargetLatency is the time within which an answer has its full worth. It
-	// comes from the route; 0 when none is known.
+	// TargetLatency is the latency up to which an answer has its full value, set by
+	// the route. 0: none is set.
 	TargetLatency time.Duration `json:"target_latency_ns,omitempty"`
-	// Public says that callers need no key. It comes from the route.
+	// Public reports that callers need no key. It is set by the route.
 	Public bool `json:"public,omitempty"`
 }
 
-// Defaults for keys that no entry sets. Estimates; units are those of Settings.
+// Defaults for keys that no entry sets, in the units of Settings.
 const (
 	DefaultRetryBudget    = 3
 	DefaultRetryRatio     = 0.1
@@ -61,7 +65,7 @@
 	}
 }
 
-// repeatable returns what is set, or whether the method is safe where nothing is.
+// repeatable returns *set, or whether the method is safe if set is nil.
 func repeatable(set *bool, method string) bool {
 	if set != nil {
 		return *set
--- a/policy/fields.go
+++ b/policy/fields.go
@@ -8,7 +8,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Bounds of the numeric fields.
+// Bounds of numeric and duration fields.
 const (
 	MaximumRetryBudget = 32
 	MaximumConcurrency = 10000
@@ -17,11 +17,11 @@
 	MaximumQueueTime   = 10 * time.Second
 )
 
-// field describes one key of Settings: how it is read from text, shown, unset
-// and checked.
+// field describes one key of Settings: how it is parsed, formatted, unset, validated
+// and inherited.
 type field struct {
 	name    string
-	allowed string // what is allowed, for error messages
+	allowed string // allowed values, for error messages
 	parse   func(*Settings, string) error
 	show    func(*Settings) (string, bool)
 	unset   func(*Settings)
@@ -29,7 +29,7 @@
 	inherit func(into, from *Settings)
 }
 
-// pointerField builds a field for a pointer member of Settings.
+// pointerField returns the field for a pointer field of Settings, which member returns.
 func pointerField[T any](name, allowed string, member func(*Settings) **T, parse func(string) (T, error), show func(T) string, valid func(T) bool) field {
 	return field{
 		name:    name,
@@ -86,7 +86,7 @@
 	return func(value T) bool { return value >= low && value <= high }
 }
 
-// fields lists the keys of Settings in the order in which they are shown.
+// fields lists the keys of Settings in display order.
 var fields = []field{
 	pointerField("class", "bulk, default, interactive or critical",
 		func(s *Settings) **Class { return &s.Class }, parseClass, showAny[Class], between(Bulk, Critical)),
@@ -120,7 +120,7 @@
 	return field{}, result.New(result.PolicyInvalid, "unknown key %q; allowed: %s", name, names)
 }
 
-// FieldNames returns the keys of Settings in the order in which they are shown.
+// FieldNames returns the keys of Settings in display order.
 func FieldNames() []string {
 	names := make([]string, 0, len(fields))
 	for _, f := range fields {
@@ -129,7 +129,7 @@
 	return names
 }
 
-// Show returns the value of one key as text, and whether it is set.
+// Show returns the value of one key as text, and whether the key is known and set.
 func (s Settings) Show(name string) (string, bool) {
 	f, err := findField(name)
 	if err != nil {
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -15,12 +15,11 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// TestTheStoredDocument: documents that were written by earlier versions lie in the
-// operators' stores and must be read and written alike.
-func TestTheStoredDocument(t *testing.T) { golden.Message[policy.Document](t, "document.jsonl") }
+// Documents written by earlier versions are in operators' stores, so the encoding is fixed.
+func TestStoredDocument(t *testing.T) { golden.Message[policy.Document](t, "document.jsonl") }
 
-// TestADocumentAsOperatorsMakeIt is valid and comes through whole.
-func TestADocumentAsOperatorsMakeIt(t *testing.T) {
+// A typical operators' document is valid and unchanged by decoding and encoding.
+func TestOperatorsDocumentRoundTrip(t *testing.T) {
 	is := is.New(t)
 	stored, err := os.ReadFile("testdata/golden/operators.json")
 	is.NoErr(err)
@@ -31,11 +30,11 @@
 	golden.Text(t, "operators.json", append(encoded, '\n'))
 }
 
-// TestWhatIsInForce is printed by `loomcleat config resolve --output json`.
-func TestWhatIsInForce(t *testing.T) { golden.Message[policy.Effective](t, "effective.jsonl") }
+// The encoding of Effective is printed by `loomcleat config resolve --output json`.
+func TestEffectiveEncoding(t *testing.T) { golden.Message[policy.Effective](t, "effective.jsonl") }
 
-// TestKeysOfTheTree: the names of the keys, what is allowed (with units) and the defaults.
-func TestKeysOfTheTree(t *testing.T) {
+// The keys of the tree, their allowed values with units, and their defaults are fixed.
+func TestSettingsKeys(t *testing.T) {
 	list := &strings.Builder{}
 	for _, value := range policy.NewIndex(nil).Resolve("any", "POST", "/").Values() {
 		_, err := (&policy.Document{Entries: map[string]policy.Settings{}}).
--- a/policy/index.go
+++ b/policy/index.go
@@ -2,8 +2,8 @@
 
 import "sort"
 
-// Index answers Resolve quickly for one Document. It does not change and may
-// be shared between goroutines.
+// Index resolves settings from one Document without parsing its paths for each call.
+// It is immutable and safe for concurrent use.
 type Index struct {
 	revision uint64
 	entries  map[string]Settings
@@ -13,21 +13,24 @@
 	tenants  *TenantTable
 }
 
-// serviceEntry is what the tree says of one service.
+// serviceEntry holds the resolved settings of one service.
 type serviceEntry struct {
-	effective  Effective
-	repeatable *bool       // as set in the tree, nil when it depends on the method
-	calls      []callEntry // the more specific ones first
+	effective Effective
+	// The value set in the tree. Nil: it depends on the method.
+	repeatable *bool
+	// Call paths of the service, more specific ones first.
+	calls []callEntry
 }
 
-// callEntry is what the tree says of one call path of a service.
+// callEntry holds the resolved settings of one call path of a service.
 type callEntry struct {
 	pattern    Pattern
 	effective  Effective
 	repeatable *bool // as in serviceEntry
 }
 
-// NewIndex prepares document for Resolve. A nil document is an empty tree.
+// NewIndex returns the Index of a document, which must not be changed afterwards. A nil
+// document is an empty tree.
 func NewIndex(document *Document) *Index {
 	if document == nil {
 		document = &Document{}
@@ -51,8 +54,8 @@
 	return index
 }
 
-// add takes the entry of a service or of a call path. Entries above them count by
-// inheritance. Paths that cannot be read do not come here: Decode and Apply refuse them.
+// add indexes the entry of a service or of a call path. Other entries are used through
+// inheritance only. Invalid paths are skipped; Decode and Apply reject them earlier.
 func (x *Index) add(text string) {
 	path, err := ParsePath(text)
 	if err != nil || path.Service == "" {
@@ -76,7 +79,8 @@
 	})
 }
 
-// inherited merges the entries from the most specific to the root.
+// inherited returns the settings at path: those of its entry, completed by those of its
+// ancestors up to the root.
 func (x *Index) inherited(path Path, servicePath string) Settings {
 	chain := []string{}
 	if path.Call != nil {
@@ -105,17 +109,18 @@
 // Routes returns the route table.
 func (x *Index) Routes() *RouteTable { return x.routes }
 
-// Tenants returns the tenants and their keys.
+// Tenants returns the tenant table.
 func (x *Index) Tenants() *TenantTable { return x.tenants }
 
-// Limits returns the bounds of what callers may send.
+// Limits returns the limits for callers.
 func (x *Index) Limits() Limits { return x.limits }
 
 // Revision returns the revision of the Document.
 func (x *Index) Revision() uint64 { return x.revision }
 
-// Resolve returns the settings of a call to service. For a service without an
-// entry it returns the root's settings with Known false.
+// Resolve returns the settings of a call to service: those of the most specific call
+// path that matches, or else of the service. For a service without an entry, it returns
+// the root's settings with Known false.
 func (x *Index) Resolve(service, method, path string) Effective {
 	entry, exists := x.services[service]
 	if !exists {
@@ -138,8 +143,9 @@
 	return resolved
 }
 
-// Entry returns the settings of the entry at path, after inheritance. For call
-// paths with any method, Repeatable is shown as for a POST.
+// Entry returns the settings of the entry at a path after inheritance, or the zero
+// Effective if the path is invalid. If Repeatable is not set, it is true only for a call
+// path with a safe method.
 func (x *Index) Entry(text string) Effective {
 	path, err := ParsePath(text)
 	if err != nil {
--- a/policy/path.go
+++ b/policy/path.go
@@ -6,24 +6,26 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Path is a parsed entry path.
+// Path is the parsed path of an entry. Fields below its level are empty.
 type Path struct {
 	Team    string
 	Family  string
 	Service string
-	Call    *Pattern // nil above the level of call paths
+	Call    *Pattern
 }
 
-// RootPath is the path of the entry that everything inherits from.
+// RootPath is the path of the root entry, from which all others inherit.
 const RootPath = "/"
 
-// ParsePath reads a path of one of the forms
+// ParsePath parses a path of one of the forms
 //
 //	/                                 the root
 //	team
 //	team/family
 //	team/family/service
 //	team/family/service METHOD /path  a call path, see Pattern
+//
+// It returns a result.PolicyInvalid error for any other text.
 func ParsePath(text string) (Path, error) {
 	if text == RootPath {
 		return Path{}, nil
@@ -59,8 +61,8 @@
 	return path, nil
 }
 
-// maximumNameLength bounds a name of the tree, in bytes: that of a label of DNS, since the
-// name of a service stands in Host headers.
+// maximumNameLength is the maximum length of a name in bytes. It is that of a DNS label,
+// since service names appear in Host headers.
 const maximumNameLength = 63
 
 func validName(name string) bool {
--- a/policy/pattern.go
+++ b/policy/pattern.go
@@ -6,23 +6,25 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// AnyMethod in a Pattern matches every method.
+// AnyMethod is the method of a Pattern that matches every method.
 const AnyMethod = "*"
 
 const (
 	anySegment = "*"  // matches one segment
-	anyTail    = "**" // matches all remaining segments, only at the end
+	anyTail    = "**" // matches any number of remaining segments; allowed only at the end
 )
 
-// Pattern selects calls of a service by method and path.
+// Pattern selects calls of a service by method and path. Segments are the parts of the
+// path between slashes.
 type Pattern struct {
 	Method   string
 	Segments []string
 	text     string
 }
 
-// ParsePattern reads "METHOD /path". In the path, "*" stands for one segment
-// and "**" at the end for any number of further segments.
+// ParsePattern parses "METHOD /path". In the path, "*" matches one segment and "**" at
+// the end any number of further segments, including none. It returns a
+// result.PolicyInvalid error for any other text.
 func ParsePattern(text string) (Pattern, error) {
 	method, path, found := strings.Cut(text, " ")
 	if !found || !strings.HasPrefix(path, "/") {
@@ -43,7 +45,7 @@
 // String returns the text that the pattern was parsed from.
 func (p Pattern) String() string { return p.text }
 
-// Matches reports whether a call with the given method and path is selected.
+// Matches reports whether the pattern selects calls with the given method and path.
 func (p Pattern) Matches(method, path string) bool {
 	if p.Method != AnyMethod && p.Method != method {
 		return false
@@ -69,13 +71,13 @@
 	return false
 }
 
-// moreSpecific orders patterns: named segments before wildcards, longer before
-// shorter, a named method before any method.
+// moreSpecific reports whether p precedes other: literal segments precede wildcards,
+// longer paths shorter ones, and a given method any method.
 func (p Pattern) moreSpecific(other Pattern) bool {
 	for i := 0; i < len(p.Segments) && i < len(other.Segments); i++ {
-		mine, theirs := segmentRank(p.Segments[i]), segmentRank(other.Segments[i])
-		if mine != theirs {
-			return mine > theirs
+		rank, otherRank := segmentRank(p.Segments[i]), segmentRank(other.Segments[i])
+		if rank != otherRank {
+			return rank > otherRank
 		}
 	}
 	if len(p.Segments) != len(other.Segments) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func build(t *testing.T, changes ...Change) *Document {
+func buildDocument(t *testing.T, changes ...Change) *Document {
 	t.Helper()
 	document := &Document{Entries: map[string]Settings{}}
 	next, err := document.Apply("edit", "test", time.Unix(0, 0), changes)
@@ -18,7 +18,7 @@
 }
 
 func TestInheritance(t *testing.T) {
-	document := build(t,
+	document := buildDocument(t,
 		Change{Path: "/", Key: "retry_budget", Value: "1"},
 		Change{Path: "sales", Key: "class", Value: "interactive"},
 		Change{Path: "sales/cabins", Key: "deadline", Value: "2s"},
@@ -35,7 +35,7 @@
 			Effective{Path: "sales/cabins/booking", Class: Interactive, Repeatable: true, RetryBudget: 4, Deadline: 2 * time.Second}},
 		{"call path overrides", "booking", "POST", "/pay/1/2",
 			Effective{Path: "sales/cabins/booking POST /pay/**", Class: Critical, RetryBudget: 4, Deadline: 2 * time.Second}},
-		{"the method selects", "booking", "GET", "/pay/1",
+		{"another method does not match the call path", "booking", "GET", "/pay/1",
 			Effective{Path: "sales/cabins/booking", Class: Interactive, Repeatable: true, RetryBudget: 4, Deadline: 2 * time.Second}},
 		{"repeatable set for any method", "booking", "POST", "/export/7",
 			Effective{Path: "sales/cabins/booking * /export/*", Class: Interactive, Repeatable: true, RetryBudget: 4, Deadline: 2 * time.Second}},
@@ -84,7 +84,8 @@
 	}
 }
 
-func TestCheckRefuses(t *testing.T) {
+// A rejected edit leaves the document unchanged.
+func TestInvalidEditIsRejected(t *testing.T) {
 	cases := []struct {
 		name    string
 		changes []Change
@@ -102,7 +103,7 @@
 			document := &Document{Entries: map[string]Settings{}}
 			_, err := document.Apply("edit", "", time.Unix(0, 0), c.changes)
 			is.True(err != nil)
-			is.Equal(document.Revision, uint64(0)) // left alone
+			is.Equal(document.Revision, uint64(0)) // a rejected edit changed the document
 			is.Equal(len(document.Entries), 0)
 		})
 	}
--- a/policy/route.go
+++ b/policy/route.go
@@ -7,41 +7,43 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Route maps the requests of one host and path prefix to services and says how
-// they are to be treated. What a route sets wins over the tree's entry of the
-// service; what it leaves open comes from the tree.
+// Route maps the requests of one host and path prefix to services and sets how they are
+// handled. Its settings override those of the service's entry in the tree.
 type Route struct {
 	// Name identifies the route in logs and metrics.
 	Name string `json:"name"`
 	// Host is the Host header without a port, compared without case.
 	Host string `json:"host"`
-	// PathPrefix begins and ends with a slash. The longest one wins.
+	// PathPrefix begins and ends with a slash. The longest matching prefix of a
+	// host wins.
 	PathPrefix string `json:"path_prefix"`
-	// Split shares the requests among services by weight. One or more.
+	// Split distributes the requests among services by weight. It has at least one
+	// part with a positive weight.
 	Split []SplitPart `json:"split"`
-	// Repeatable says that running a request again does no harm.
+	// Repeatable reports that a request may be executed more than once.
 	Repeatable bool `json:"repeatable"`
-	// Timeout is the longest time that a request may take. 0: as the tree says.
+	// Timeout is the time limit of a request. 0: the deadline from the tree applies.
 	Timeout Duration `json:"timeout,omitempty"`
-	// TargetLatency is the time within which an answer has its full worth. 0:
-	// none is known.
+	// TargetLatency is the latency up to which an answer has its full value. 0:
+	// none is set.
 	TargetLatency Duration `json:"target_latency,omitempty"`
-	// MaximumAttempts is the number of back ends that one request may be sent
+	// MaximumAttempts is the maximum number of back ends that one request is sent
 	// to, at least 1.
 	MaximumAttempts int `json:"max_attempts"`
 	// Class is the importance of the requests.
 	Class Class `json:"class"`
-	// Public says that callers need no key, whatever the document requires.
+	// Public reports that callers need no key, even if Document.KeysRequired is set.
 	Public bool `json:"public,omitempty"`
 }
 
 // SplitPart is the share of one service in a Route.
 type SplitPart struct {
 	Service string `json:"service"`
-	Weight  int    `json:"weight"` // relative to the other parts, 0 or more
+	// Weight is relative to that of the other parts, 0 or more.
+	Weight int `json:"weight"`
 }
 
-// check returns a result.PolicyInvalid error for a route that cannot be used.
+// check returns a result.PolicyInvalid error for an invalid route.
 func (r *Route) check() error {
 	validPrefix := strings.HasPrefix(r.PathPrefix, "/") && strings.HasSuffix(r.PathPrefix, "/")
 	switch {
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// Apply puts what the route says over the settings of the service.
+// Apply returns the settings of the service, overridden by those of the route.
 func (r *Route) Apply(settings Effective) Effective {
 	settings.Path = routePathPrefix + r.Name
 	settings.Known = true
@@ -87,46 +89,44 @@
 	return settings
 }
 
-// graphRetries is the number of retries of one user request in its whole call graph
-// for each attempt that its route allows beyond the first. The attempts of a route
-// bound one call. A request of a route may need ten calls, and when one in five of
-// them loses its answer, hardly any comes through with a single retry for all of them.
-// What all requests together may retry is bounded apart (retrybudget.Shared).
-const graphRetries = 16
+// retriesPerExtraAttempt is the number of retries of a user request, in its whole call
+// graph, for each attempt that its route allows beyond the first. The attempts of a route
+// bound a single call, but a request may need many calls, so one retry for all of them
+// would be too few. retrybudget.Shared bounds the retries of all requests together.
+const retriesPerExtraAttempt = 16
 
-// retryBudget returns the number of retries of a user request on the route.
+// retryBudget returns the number of retries that a user request on the route may cause in
+// its whole call graph.
 func (r *Route) retryBudget() int {
-	return min(max(r.MaximumAttempts-1, 0)*graphRetries, MaximumRetryBudget)
+	return min(max(r.MaximumAttempts-1, 0)*retriesPerExtraAttempt, MaximumRetryBudget)
 }
 
-// routePathPrefix starts the Path of settings that come from a route, so that it
-// never equals a path of the tree.
+// routePathPrefix begins Effective.Path for settings from a route. It is not valid in a
+// path of the tree.
 const routePathPrefix = "route:"
 
-// ServiceAt returns the service of the part at the position, a number from 0 up
-// to but not including 1, in the line of all weights.
+// ServiceAt maps position, a number in [0, 1), to a service in proportion to the weights
+// of the split. A uniformly random position selects services by weight.
 func (r *Route) ServiceAt(position float64) string {
 	total := 0
 	for _, part := range r.Split {
 		total += part.Weight
 	}
-	passed := 0.0
+	cumulative := 0.0
 	for _, part := range r.Split {
-		passed += float64(part.Weight) / float64(total)
-		if position < passed {
+		cumulative += float64(part.Weight) / float64(total)
+		if position < cumulative {
 			return part.Service
 		}
 	}
 	return r.Split[len(r.Split)-1].Service
 }
 
-// RouteTable finds the route of a request. It does not change and may be shared
-// between goroutines.
+// RouteTable finds the route of a request. It is immutable and safe for concurrent use.
 type RouteTable struct {
-	byHost map[string]map[string]*Route // host in lower case, then path prefix
+	byHost map[string]map[string]*Route // by host in lower case, then by path prefix
 }
 
-// newRouteTable indexes routes.
 func newRouteTable(routes []Route) *RouteTable {
 	table := &RouteTable{byHost: make(map[string]map[string]*Route, len(routes))}
 	for i := range routes {
@@ -142,8 +142,8 @@
 // Empty reports whether there are no routes.
 func (t *RouteTable) Empty() bool { return len(t.byHost) == 0 }
 
-// Find returns the route of the host whose prefix begins the path and is the
-// longest, nil when there is none. host has no port; path is the escaped path.
+// Find returns the route of the host with the longest prefix of path, or nil. host has no
+// port; path is the escaped path.
 func (t *RouteTable) Find(host, path string) *Route {
 	prefixes := t.byHost[strings.ToLower(host)]
 	if prefixes == nil {
@@ -162,13 +162,14 @@
 	return nil
 }
 
-// Limits bound what callers may send.
+// Limits bounds the requests and connections of callers. A value of 0 means that the
+// document sets no bound.
 type Limits struct {
-	// MaximumHeader and MaximumBody are in bytes. 0: no bound of the tree.
+	// MaximumHeader and MaximumBody are in bytes.
 	MaximumHeader int64 `json:"max_header,omitempty"`
 	MaximumBody   int64 `json:"max_body,omitempty"`
-	// HeaderTimeout is the time in which a header must have come, IdleTimeout
-	// that for which a connection may rest. 0: no bound of the tree.
+	// HeaderTimeout is the time limit for reading a request's header, IdleTimeout
+	// how long a connection may be idle.
 	HeaderTimeout Duration `json:"header_timeout,omitempty"`
 	IdleTimeout   Duration `json:"idle_timeout,omitempty"`
 }
--- a/policy/route_test.go
+++ b/policy/route_test.go
@@ -11,7 +11,7 @@
 	return Route{Name: name, Host: host, PathPrefix: prefix, MaximumAttempts: 1, Split: []SplitPart{{Service: name, Weight: 1}}}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	table := newRouteTable([]Route{
 		testRoute("root", "a.example", "/"),
 		testRoute("long", "a.example", "/one/two/"),
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestServiceAtFollowsTheWeights(t *testing.T) {
+func TestServiceAtFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	route := Route{Split: []SplitPart{{"a", 90}, {"none", 0}, {"b", 10}}}
 	counts := map[string]int{}
@@ -56,16 +56,16 @@
 	is.Equal(counts["none"], 0)
 }
 
-func TestRoutesAreChecked(t *testing.T) {
+func TestInvalidRouteIsRejected(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Route)
 	}{
 		{"no host", func(r *Route) { r.Host = "" }},
-		{"prefix without its last slash", func(r *Route) { r.PathPrefix = "/a" }},
+		{"prefix without a trailing slash", func(r *Route) { r.PathPrefix = "/a" }},
 		{"no attempts", func(r *Route) { r.MaximumAttempts = 0 }},
-		{"no parts", func(r *Route) { r.Split = nil }},
-		{"no weight", func(r *Route) { r.Split[0].Weight = 0 }},
+		{"empty split", func(r *Route) { r.Split = nil }},
+		{"total weight of 0", func(r *Route) { r.Split[0].Weight = 0 }},
 		{"a part without a service", func(r *Route) { r.Split[0].Service = "" }},
 		{"negative timeout", func(r *Route) { r.Timeout = -1 }},
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestARouteGoesOverTheTree(t *testing.T) {
+func TestRouteOverridesTree(t *testing.T) {
 	is := is.New(t)
 	route := testRoute("r", "a.example", "/a/")
 	route.Class, route.Repeatable = Critical, true
@@ -89,7 +89,7 @@
 	is.Equal(got.Class, Critical)
 	is.True(got.Repeatable)
 	is.True(got.Known)
-	is.Equal(got.RetryBudget, 32) // of the whole call graph
+	is.Equal(got.RetryBudget, 32) // retries in the whole call graph
 	is.Equal(got.Deadline, 800*time.Millisecond)
-	is.Equal(got.QueueTime, DefaultQueueTime) // the tree's
+	is.Equal(got.QueueTime, DefaultQueueTime) // not set by routes: from the tree
 }
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -12,41 +12,42 @@
 type Tenant struct {
 	// Name identifies the tenant to back ends, in logs and in metrics.
 	Name string `json:"name"`
-	// Keys are the digests of its API keys. None: nobody speaks for the tenant now.
+	// Keys lists the digests of its API keys. Without keys, no request can belong to
+	// the tenant.
 	Keys []KeyDigest `json:"keys,omitempty"`
-	// Class is the importance of its requests, which goes before that of the route.
-	// Nil: that of the route.
+	// Class is the importance of its requests and takes precedence over the class of
+	// the route. Nil: the class of the route applies.
 	Class *Class `json:"class,omitempty"`
-	// Quota bounds its requests over the whole mesh.
+	// Quota bounds its requests in the whole mesh.
 	Quota Quota `json:"quota,omitzero"`
 }
 
-// Quota bounds the requests of a tenant over all processes together.
+// Quota bounds the requests of a tenant, over all processes together.
 type Quota struct {
-	// Rate is in requests a second. 0: there is no bound.
+	// Rate is in requests per second. 0: no bound.
 	Rate float64 `json:"rate,omitempty"`
-	// Burst is the number of requests that may be made at once beyond that.
+	// Burst is the number of requests allowed at once in excess of the rate.
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Bounded reports whether there is a bound.
+// Bounded reports whether the quota bounds requests.
 func (q Quota) Bounded() bool { return q.Rate > 0 }
 
 // KeyDigest is the SHA-256 digest of an API key. Keys are secrets: documents, messages
-// and logs hold nothing but digests, from which a key cannot be had.
+// and logs contain only digests, from which a key cannot be recovered.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// MarshalText implements encoding.TextMarshaler: in hexadecimal.
+// MarshalText implements encoding.TextMarshaler. The text is hexadecimal.
 func (d KeyDigest) MarshalText() ([]byte, error) {
 	return hex.AppendEncode(nil, d[:]), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It returns a result.PolicyInvalid
-// error for a text that is no digest. The text is not repeated in the error: it may be
-// a key that was put there by mistake.
+// error for a text that is not a digest. The error does not quote the text, which may be
+// a key entered by mistake.
 func (d *KeyDigest) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(d)) {
 		return result.New(result.PolicyInvalid, "a key digest has %d hexadecimal digits, not %d", hex.EncodedLen(len(d)), len(text))
@@ -57,11 +58,11 @@
 	return nil
 }
 
-// emptyKey is what an empty key would be found by.
-var emptyKey = DigestKey("")
+// emptyKeyDigest is rejected as a tenant's key.
+var emptyKeyDigest = DigestKey("")
 
-// checkTenants returns a result.PolicyInvalid error for tenants that cannot be told
-// apart by name or key, or whose quota makes no sense.
+// checkTenants returns a result.PolicyInvalid error for a missing or duplicate name, an
+// empty key, a key of two tenants or a negative quota.
 func checkTenants(tenants []Tenant) error {
 	names := make(map[string]bool, len(tenants))
 	owners := make(map[KeyDigest]string, len(tenants))
@@ -77,11 +78,11 @@
 		}
 		names[tenant.Name] = true
 		for number, key := range tenant.Keys {
-			owner, held := owners[key]
+			owner, taken := owners[key]
 			switch {
-			case key == emptyKey:
+			case key == emptyKeyDigest:
 				return result.New(result.PolicyInvalid, "tenants[%d]: %q: keys[%d] is empty", i, tenant.Name, number)
-			case held && owner != tenant.Name:
+			case taken && owner != tenant.Name:
 				return result.New(result.PolicyInvalid, "tenants[%d]: %q: keys[%d] is held by %q as well", i, tenant.Name, number, owner)
 			}
 			owners[key] = tenant.Name
@@ -90,16 +91,15 @@
 	return nil
 }
 
-// TenantTable finds the tenant of a key in a time that does not grow with their number.
-// It does not change and may be shared between goroutines.
+// TenantTable finds the tenant of a key in constant time. It is immutable and safe for
+// concurrent use.
 type TenantTable struct {
-	required bool
-	ranked   bool
-	byKey    map[KeyDigest]*Tenant
-	list     []Tenant
+	required      bool
+	classesDiffer bool
+	byKey         map[KeyDigest]*Tenant
+	list          []Tenant
 }
 
-// newTenantTable indexes the tenants of a document.
 func newTenantTable(document *Document) *TenantTable {
 	table := &TenantTable{
 		required: document.KeysRequired,
@@ -108,7 +108,7 @@
 	}
 	for i := range document.Tenants {
 		tenant := &document.Tenants[i]
-		table.ranked = table.ranked || !sameClass(tenant.Class, document.Tenants[0].Class)
+		table.classesDiffer = table.classesDiffer || !sameClass(tenant.Class, document.Tenants[0].Class)
 		for _, key := range tenant.Keys {
 			table.byKey[key] = tenant
 		}
@@ -123,14 +123,14 @@
 	return *a == *b
 }
 
-// Ranked reports whether tenants differ in class. Where all have the same, their class
-// tells nothing, and requests are ordered by the class of the route alone.
-func (t *TenantTable) Ranked() bool { return t.ranked }
+// Ranked reports whether tenants differ in class. If they do not, requests are ordered by
+// the class of the route alone.
+func (t *TenantTable) Ranked() bool { return t.classesDiffer }
 
 // Required reports whether callers must present a key on routes that are not public.
 func (t *TenantTable) Required() bool { return t.required }
 
-// Find returns the tenant that holds a key, nil when none does.
+// Find returns the tenant that holds a key, or nil.
 func (t *TenantTable) Find(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -138,5 +138,6 @@
 	return t.byKey[DigestKey(key)]
 }
 
-// List returns the tenants in the order of the document. It must not be changed.
+// List returns the tenants in the order of the document. The caller must not change the
+// slice.
 func (t *TenantTable) List() []Tenant { return t.list }
--- a/policy/tenant_test.go
+++ b/policy/tenant_test.go
@@ -11,7 +11,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-func TestTenantsThatCannotBeUsed(t *testing.T) {
+func TestInvalidTenantsAreRejected(t *testing.T) {
 	key, other := DigestKey("key"), DigestKey("other")
 	cases := map[string]struct {
 		tenants []Tenant
@@ -35,12 +35,12 @@
 	}
 }
 
-func TestTheTenantOfAKeyIsFound(t *testing.T) {
+func TestFindTenantByKey(t *testing.T) {
 	is := is.New(t)
 	class := Critical
 	document := &Document{Revision: 3, KeysRequired: true, Tenants: []Tenant{
 		{Name: "a", Keys: []KeyDigest{DigestKey("one"), DigestKey("two")}, Class: &class},
-		{Name: "b"}, // it has lost its keys
+		{Name: "b"}, // has no keys
 		{Name: "c", Keys: []KeyDigest{DigestKey("three")}, Quota: Quota{Rate: 2, Burst: 5}},
 	}}
 	data, err := document.Encode()
@@ -58,8 +58,8 @@
 	is.True(!NewIndex(nil).Tenants().Required())
 }
 
-// TestADigestThatIsNoneIsNotRepeated: somebody may have put a key there.
-func TestADigestThatIsNoneIsNotRepeated(t *testing.T) {
+// A key entered by mistake in place of its digest must not appear in the error.
+func TestInvalidDigestIsNotInError(t *testing.T) {
 	for _, text := range []string{"secret", strings.Repeat("secretsecret----", 4)} {
 		is := is.New(t)
 		var digest KeyDigest
@@ -76,14 +76,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if tenants.Find("key-of-tenant-17") == nil {
-					b.Fatal("not found")
+					b.Fatal("tenant of key-of-tenant-17 not found")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkAdoptTenants measures what the control loop does with a new policy.
+// BenchmarkAdoptTenants measures decoding and indexing a new document with many tenants.
 func BenchmarkAdoptTenants(b *testing.B) {
 	data, err := manyTenants(10000).Encode()
 	if err != nil {
