--- a/kernel/account.go
+++ b/kernel/account.go
@@ -8,10 +8,10 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// logEnd writes the line of a request that ended without the answer of a back
-// end: what decided it, and how old that was. Requests that end well are
-// counted in the metrics only.
-func (p *Process) logEnd(r *http.Request, call *Call, direction string, err error, taken time.Duration) {
+// logFailure logs a request that ended without an answer from a back end, with the
+// result code and the policy revision in force. Successful requests are only counted
+// in the metrics.
+func (p *Process) logFailure(r *http.Request, call *Call, direction string, err error, taken time.Duration) {
 	typed := result.From(err)
 	number := event.RequestFailed
 	if typed.NotRun() {
@@ -34,8 +34,8 @@
 	p.Log.Emit(number, pairs...)
 }
 
-// logFailureAnswer writes the line of a request that a back end answered with a
-// failure.
+// logFailureAnswer logs a request that a back end answered with a status of 500 or
+// more.
 func (p *Process) logFailureAnswer(call *Call, direction string, answer *Answer, taken time.Duration) {
 	if answer.StatusCode < http.StatusInternalServerError {
 		return
@@ -44,7 +44,7 @@
 	p.Log.Emit(event.AnsweredWithFailure, pairs...)
 }
 
-// callPairs are what is told of a call in each line about it.
+// callPairs returns the key-value pairs that describe a call in log lines.
 func callPairs(call *Call) []any {
 	pairs := []any{
 		"request", call.RequestID,
@@ -68,7 +68,8 @@
 	return pairs
 }
 
-// LogRepeat writes the line of an attempt that is followed by another one.
+// LogRepeat logs an attempt that will be followed by another one. err is the error of
+// the attempt, nil when the attempt got an answer.
 func (p *Process) LogRepeat(call *Call, err error) {
 	pairs := callPairs(call)
 	if err != nil {
--- a/kernel/admin.go
+++ b/kernel/admin.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// adminRoutes are metrics and probes.
+// adminRoutes returns the handler of the admin listener: metrics, probes and status.
 func (p *Process) adminRoutes() http.Handler {
 	routes := http.NewServeMux()
 	routes.Handle("GET /metrics", promhttp.HandlerFor(p.Metrics, promhttp.HandlerOpts{}))
--- a/kernel/advice.go
+++ b/kernel/advice.go
@@ -6,11 +6,11 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// advise returns an error with what a caller outside the mesh is told about coming
-// again. One that was refused for overload is told when the gate of its route admits
-// everything, if the overload ends now. Waits for something that is absent, such as a
-// node that is being restarted, stay as they are.
-func (p *Process) advise(call *Call, err error) *result.Error {
+// withRetryAfter returns a copy of err with the Retry-After for a caller outside the mesh. For
+// a request refused because of overload, it is the time until the gate of the route
+// would admit everything again if the overload ended now, plus a random spread. The
+// Retry-After of other codes is kept.
+func (p *Process) withRetryAfter(call *Call, err error) *result.Error {
 	advised := *result.From(err)
 	if call == nil || !call.External {
 		return &advised
--- a/kernel/answer.go
+++ b/kernel/answer.go
@@ -10,15 +10,15 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// copyBuffers are the buffers in which bodies are passed on.
+// copyBuffers holds the buffers that copyBody uses.
 var copyBuffers = sync.Pool{New: func() any {
 	buffer := make([]byte, 32<<10)
 	return &buffer
 }}
 
-// writeAnswer passes an answer on: status, headers, body and trailers. A body
-// that ends too early breaks the connection, so that the caller never takes it
-// for a whole answer.
+// writeAnswer writes an answer to w: status, headers, body and trailers. If the body
+// is truncated, it closes the connection so that the caller cannot take the answer for
+// a complete one.
 func writeAnswer(w http.ResponseWriter, answer *http.Response) {
 	header := w.Header()
 	wire.RemoveHopByHop(answer.Header)
@@ -26,7 +26,7 @@
 		header[name] = values
 	}
 	if _, exists := answer.Header["Content-Type"]; !exists {
-		header["Content-Type"] = nil // else the server would guess one
+		header["Content-Type"] = nil // keeps net/http from sniffing one
 	}
 	w.WriteHeader(answer.StatusCode)
 	if err := copyBody(w, answer); err != nil {
@@ -37,26 +37,28 @@
 	}
 }
 
-// holdBody reads a body, up to what is kept of an answer, before its head goes out.
-// One that breaks off becomes a failure, so that the connection can go on.
-func holdBody(answer *http.Response) error {
+// prefetchBody reads up to maximumBuffered bytes of the body before the head of the answer
+// is written. If the body is truncated within them, it returns an error that can be
+// sent instead, so that the connection stays usable.
+func prefetchBody(answer *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(answer.Body, maximumBuffered))
 	if err != nil {
 		_ = answer.Body.Close()
-		return brokenOff()
+		return truncatedAnswer()
 	}
-	answer.Body = &heldBody{Reader: io.MultiReader(bytes.NewReader(data), answer.Body), Closer: answer.Body}
+	answer.Body = &prefetchedBody{Reader: io.MultiReader(bytes.NewReader(data), answer.Body), Closer: answer.Body}
 	return nil
 }
 
-// heldBody is a body of which a part has been read already.
-type heldBody struct {
+// prefetchedBody is a body whose beginning is in memory.
+type prefetchedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// copyBody passes the body on. What has been read is flushed unless the body is
-// whole, since the caller may wait for it while the rest takes its time.
+// copyBody copies the body of the answer to w. It flushes after each read unless the body
+// is then complete by its Content-Length, because the caller may wait for this data while
+// the rest is delayed.
 func copyBody(w http.ResponseWriter, answer *http.Response) error {
 	buffer, _ := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
--- a/kernel/body.go
+++ b/kernel/body.go
@@ -10,8 +10,8 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Body is a request body. Small bodies of known length are read into memory
-// first, so that they can be sent again; others are streamed.
+// Body is a request body. Small bodies of known length are read into memory so that
+// they can be sent again; others are streamed.
 type Body struct {
 	data     []byte
 	buffered bool
@@ -20,11 +20,10 @@
 	opened   bool
 }
 
-// replayableLimit is the size up to which bodies are kept, in bytes.
+// replayableLimit is the size up to which bodies are read into memory, in bytes.
 const replayableLimit = 64 << 10
 
-// isStreamed reports whether the body of a request is passed on while it
-// arrives.
+// isStreamed reports whether the body of a request is forwarded while it arrives.
 func isStreamed(r *http.Request) bool {
 	return r.ContentLength < 0 || r.ContentLength > replayableLimit
 }
@@ -34,7 +33,8 @@
 	return &Body{data: data, buffered: true, length: int64(len(data))}
 }
 
-// newBody takes the body of a request that the HTTP server received.
+// newBody returns the body of a request that the HTTP server received. It returns a
+// result.CallerGone error when a body that it reads into memory is truncated.
 func newBody(r *http.Request) (*Body, error) {
 	if r.ContentLength == 0 {
 		return NewBufferedBody(nil), nil
@@ -49,13 +49,14 @@
 	return NewBufferedBody(data), nil
 }
 
-// Replayable reports whether the body can be sent (again).
+// Replayable reports whether the body can be sent now: it is in memory, or has not
+// been opened yet.
 func (b *Body) Replayable() bool { return b.buffered || !b.opened }
 
-// Buffered returns the bytes of a body that is in memory.
+// Buffered returns the bytes of the body, and false when the body is streamed.
 func (b *Body) Buffered() ([]byte, bool) { return b.data, b.buffered }
 
-// fingerprint tells bodies in memory apart. It is 0 for streamed bodies.
+// fingerprint returns a hash of the body, 0 when it is streamed.
 func (b *Body) fingerprint() uint64 {
 	if !b.buffered {
 		return 0
@@ -63,7 +64,7 @@
 	return xxhash.Sum64(b.data)
 }
 
-// Open returns a reader of the whole body and its length, -1 when unknown.
+// Open returns a reader of the complete body and its length, -1 when unknown.
 func (b *Body) Open() (io.ReadCloser, int64) {
 	b.opened = true
 	if b.buffered {
--- a/kernel/boundary.go
+++ b/kernel/boundary.go
@@ -6,41 +6,41 @@
 	"strconv"
 )
 
-// boundaryScanner finds where requests end in the bytes of a caller's connection. It
-// knows two forms: a request without a body, and one whose body has a plain length.
-// From the first request on that it is not sure of, it finds no more ends.
+// boundaryScanner finds the ends of requests in the bytes of a caller's connection. It
+// recognizes requests without a body and those with a single Content-Length. After the
+// first request of any other form it reports no more ends.
 type boundaryScanner struct {
-	head     []byte // of the request that has begun, until it is whole
-	lowered  []byte // the last head in lower case
-	bodyLeft int64  // bytes of its body that are still to come
-	unsure   bool
+	head        []byte // incomplete head of the current request
+	lowerHead   []byte // last complete head in lower case
+	bodyLeft    int64  // remaining bytes of the body of the current request
+	unknownForm bool   // a request of another form was seen
 }
 
-// maximumScannedHead bounds the heads that are looked at, in bytes.
+// maximumScannedHead is the largest head that is scanned, in bytes.
 const maximumScannedHead = 16 << 10
 
 var headEnd = []byte("\r\n\r\n")
 
-// part is the beginning of some bytes that belongs to one request.
-type part struct {
-	length int
-	whole  bool // the request ends here
-	simple bool // with whole: it has no body, and its method reads only
+// segment is a prefix of the scanned bytes that belongs to one request.
+type segment struct {
+	length   int
+	complete bool // The request ends with this segment.
+	simple   bool // Only with complete: a GET or HEAD without a body on a persistent connection.
 }
 
-// next returns how many of the bytes belong to the request that has begun, or that
-// begins with them.
-func (s *boundaryScanner) next(data []byte) part {
+// next returns the prefix of data that belongs to the current request, or to a new one
+// if the previous request is complete.
+func (s *boundaryScanner) next(data []byte) segment {
 	switch {
-	case s.unsure:
-		return part{length: len(data)}
+	case s.unknownForm:
+		return segment{length: len(data)}
 	case s.bodyLeft > 0:
 		length := int(min(s.bodyLeft, int64(len(data))))
 		s.bodyLeft -= int64(length)
-		return part{length: length, whole: s.bodyLeft == 0}
+		return segment{length: length, complete: s.bodyLeft == 0}
 	}
 	before := len(s.head)
-	seen := data // mostly a whole head, which is not copied
+	seen := data // usually a complete head, which needs no copy
 	if before > 0 {
 		s.head = append(s.head, data...)
 		seen = s.head
@@ -48,29 +48,29 @@
 	end := bytes.Index(seen, headEnd)
 	if end < 0 {
 		s.head = append(s.head[:0], seen...)
-		s.unsure = len(s.head) > maximumScannedHead
-		return part{length: len(data)}
+		s.unknownForm = len(s.head) > maximumScannedHead
+		return segment{length: len(data)}
 	}
 	end += len(headEnd)
-	s.lowered = appendLower(s.lowered[:0], seen[:end])
-	length, known := bodyLength(s.lowered)
+	s.lowerHead = appendLower(s.lowerHead[:0], seen[:end])
+	length, known := bodyLength(s.lowerHead)
 	known = known && end <= maximumScannedHead
-	simple := readsOnly(seen[:end], s.lowered)
+	simple := isSafe(seen[:end], s.lowerHead)
 	s.head = s.head[:0]
 	if !known {
-		s.unsure = true
-		return part{length: len(data)}
+		s.unknownForm = true
+		return segment{length: len(data)}
 	}
 	s.bodyLeft = length
-	return part{length: end - before, whole: length == 0, simple: simple && length == 0}
+	return segment{length: end - before, complete: length == 0, simple: simple && length == 0}
 }
 
-// atEnd reports whether all requests that have begun are whole.
+// atEnd reports whether the bytes so far end with the end of a request.
 func (s *boundaryScanner) atEnd() bool {
-	return !s.unsure && len(s.head) == 0 && s.bodyLeft == 0
+	return !s.unknownForm && len(s.head) == 0 && s.bodyLeft == 0
 }
 
-// appendLower appends text with its letters of ASCII in lower case.
+// appendLower appends text to the slice, with ASCII letters in lower case.
 func appendLower(to, text []byte) []byte {
 	for _, letter := range text {
 		if letter >= 'A' && letter <= 'Z' {
@@ -83,36 +83,37 @@
 
 var lineEnd = []byte("\r\n")
 
-// readsOnly reports whether a head is that of a request which changes nothing, and
-// behind which the connection goes on. lowered is the head in lower case.
-func readsOnly(head, lowered []byte) bool {
+// isSafe reports whether a head belongs to a GET or HEAD request after which the
+// connection stays open. lowerHead is the head in lower case.
+func isSafe(head, lowerHead []byte) bool {
 	line, _, _ := bytes.Cut(head, lineEnd)
 	method, _, _ := bytes.Cut(line, []byte(" "))
 	if string(method) != http.MethodGet && string(method) != http.MethodHead {
 		return false
 	}
-	return bytes.HasSuffix(line, []byte(" HTTP/1.1")) && !closes(lowered[len(line):])
+	return bytes.HasSuffix(line, []byte(" HTTP/1.1")) && !mayClose(lowerHead[len(line):])
 }
 
-// closes reports whether header fields in lower case may say that the connection ends
-// behind the request.
-func closes(lowered []byte) bool {
-	return bytes.Contains(lowered, []byte("connection")) && bytes.Contains(lowered, []byte("close"))
+// mayClose reports whether header fields in lower case may request that the connection
+// be closed after the request. It errs towards true.
+func mayClose(lowerHead []byte) bool {
+	return bytes.Contains(lowerHead, []byte("connection")) && bytes.Contains(lowerHead, []byte("close"))
 }
 
-// Names of header fields that tell of a body, in lower case.
+// Names of header fields that announce a body, in lower case.
 var (
 	contentLength = []byte("content-length")
-	// otherBodies are fields after which a body has no plain length, or after which
-	// something else than a body may follow.
-	otherBodies = [][]byte{[]byte("transfer-encoding"), []byte("upgrade"), []byte("expect")}
+	// otherFraming are fields by which the end of the request is not given by a length:
+	// chunked bodies, protocol upgrades, and bodies sent only on demand.
+	otherFraming = [][]byte{[]byte("transfer-encoding"), []byte("upgrade"), []byte("expect")}
 )
 
-// bodyLength returns the length of the body of a request by its head in lower case. It
-// is known when no header tells of a body, or one header tells a plain length; whoever
-// writes it otherwise may mean something else than the reader understands.
-func bodyLength(lowered []byte) (length int64, known bool) {
-	line, rest, _ := bytes.Cut(lowered, lineEnd)
+// bodyLength returns the length of the body of a request from its head in lower case.
+// The length is known when no header announces a body, or when there is exactly one
+// well-formed Content-Length. Any other form is reported as unknown, since the server
+// could read it differently (request smuggling).
+func bodyLength(lowerHead []byte) (length int64, known bool) {
+	line, rest, _ := bytes.Cut(lowerHead, lineEnd)
 	if bytes.ContainsAny(line, "\r\n") {
 		return 0, false
 	}
@@ -121,7 +122,7 @@
 		line, rest, _ = bytes.Cut(rest, lineEnd)
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		switch {
-		case tellsOtherwise(name):
+		case hasOtherFraming(name):
 			return 0, false
 		case len(line) > 0 && (line[0] == ' ' || line[0] == '\t'), bytes.ContainsAny(line, "\r\n"):
 			return 0, false // a folded line
@@ -139,10 +140,10 @@
 	return length, true
 }
 
-// tellsOtherwise reports whether a field, by its name in lower case, may tell of a body
-// in another way than by a plain length.
-func tellsOtherwise(name []byte) bool {
-	for _, other := range otherBodies {
+// hasOtherFraming reports whether the name of a field, in lower case, contains one of
+// otherFraming.
+func hasOtherFraming(name []byte) bool {
+	for _, other := range otherFraming {
 		if bytes.Contains(name, other) {
 			return true
 		}
--- a/kernel/boundary_test.go
+++ b/kernel/boundary_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// scanAll feeds bytes in pieces and returns the parts that are whole requests.
+// scanAll feeds text to the scanner in pieces and returns the complete requests, which
+// of them are simple, and the remaining text.
 func scanAll(s *boundaryScanner, text string, piece int) (requests []string, simple []bool, rest string) {
 	current := ""
 	for len(text) > 0 {
@@ -15,7 +16,7 @@
 		next := s.next([]byte(data))
 		current += data[:next.length]
 		text = text[next.length:]
-		if next.whole {
+		if next.complete {
 			requests, simple = append(requests, current), append(simple, next.simple)
 			current = ""
 		}
@@ -23,7 +24,9 @@
 	return requests, simple, current
 }
 
-func TestBoundaries(t *testing.T) {
+// TestBoundaryScanner guards against request smuggling: an end must never be found where
+// the server could see another one.
+func TestBoundaryScanner(t *testing.T) {
 	const (
 		get     = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
 		post    = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 28\r\n\r\nGET /c HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -32,36 +35,36 @@
 	)
 	cases := []struct {
 		name, text string
-		whole      []string
+		complete   []string
 		simple     []bool
 	}{
-		{"one", get, []string{get}, []bool{true}},
-		{"a row", get + get, []string{get, get}, []bool{true, true}},
-		{"the beginning of another", get + "GET /", []string{get}, []bool{true}},
+		{"one request", get, []string{get}, []bool{true}},
+		{"two requests", get + get, []string{get, get}, []bool{true, true}},
+		{"an incomplete second request", get + "GET /", []string{get}, []bool{true}},
 		{"a body that looks like a request", post + get, []string{post, get}, []bool{false, true}},
 		{"an empty body", empty + get, []string{empty, get}, []bool{false, true}},
-		{"chunks", get + chunked + get, []string{get}, []bool{true}},
-		{"the last one", strings.Replace(get, "Host", "Connection: close\r\nHost", 1) + get, []string{strings.Replace(get, "Host", "Connection: close\r\nHost", 1), get}, []bool{false, true}},
-		{"an older protocol", strings.Replace(get, "1.1", "1.0", 1) + get, []string{strings.Replace(get, "1.1", "1.0", 1), get}, []bool{false, true}},
+		{"a chunked body", get + chunked + get, []string{get}, []bool{true}},
+		{"a closing connection", strings.Replace(get, "Host", "Connection: close\r\nHost", 1) + get, []string{strings.Replace(get, "Host", "Connection: close\r\nHost", 1), get}, []bool{false, true}},
+		{"HTTP/1.0", strings.Replace(get, "1.1", "1.0", 1) + get, []string{strings.Replace(get, "1.1", "1.0", 1), get}, []bool{false, true}},
 		{"two lengths", "GET /a HTTP/1.1\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n" + get, nil, nil},
-		{"a length that is none", "GET /a HTTP/1.1\r\nContent-Length: +5\r\n\r\n" + get, nil, nil},
+		{"a malformed length", "GET /a HTTP/1.1\r\nContent-Length: +5\r\n\r\n" + get, nil, nil},
 		{"a blank before the colon", "GET /a HTTP/1.1\r\nContent-Length : 5\r\n\r\n" + get, nil, nil},
-		{"both", "GET /a HTTP/1.1\r\nContent-Length: 5\r\ntransfer-encoding: chunked\r\n\r\n" + get, nil, nil},
+		{"a length and chunks", "GET /a HTTP/1.1\r\nContent-Length: 5\r\ntransfer-encoding: chunked\r\n\r\n" + get, nil, nil},
 		{"a folded line", "GET /a HTTP/1.1\r\nX: a\r\n Content-Length: 5\r\n\r\n" + get, nil, nil},
 		{"a bare line feed", "GET /a HTTP/1.1\r\nX: a\nContent-Length: 5\r\n\r\n" + get, nil, nil},
 		{"a bare line feed before a length", "GET /a HTTP/1.1\nContent-Length: 5\r\n\r\n" + get, nil, nil},
-		{"another protocol", "GET /a HTTP/1.1\r\nUpgrade: h2c\r\n\r\n" + get, nil, nil},
-		{"an endless head", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maximumScannedHead) + "\r\n\r\n" + get, nil, nil},
+		{"a protocol upgrade", "GET /a HTTP/1.1\r\nUpgrade: h2c\r\n\r\n" + get, nil, nil},
+		{"a head that is too long", "GET /a HTTP/1.1\r\nX: " + strings.Repeat("x", 2*maximumScannedHead) + "\r\n\r\n" + get, nil, nil},
 	}
 	for _, c := range cases {
 		for _, piece := range []int{1, 7, 1 << 20} {
 			t.Run(c.name, func(t *testing.T) {
 				is := is.New(t)
 				s := &boundaryScanner{}
-				whole, simple, rest := scanAll(s, c.text, piece)
-				is.Equal(whole, c.whole)
+				complete, simple, rest := scanAll(s, c.text, piece)
+				is.Equal(complete, c.complete)
 				is.Equal(simple, c.simple)
-				is.Equal(strings.Join(whole, "")+rest, c.text) // nothing is lost
+				is.Equal(strings.Join(complete, "")+rest, c.text) // no byte is lost
 			})
 		}
 	}
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -12,81 +12,83 @@
 	"github.com/loomcleat/loomcleat/retrybudget"
 )
 
-// Call is one request on its way through the chain of one process.
+// Call is one request that passes through the chain of one process.
 type Call struct {
-	// Context ends when the caller goes away or the deadline passes.
+	// Context is cancelled when the caller disconnects or the deadline passes.
 	Context context.Context
-	// Service is the service that the call is for.
+	// Service is the name of the called service.
 	Service string
-	// Method, URL and Host are those of the request, unchanged.
+	// Method, URL and Host are taken from the request unchanged.
 	Method string
 	URL    *url.URL
 	Host   string
-	// Header is passed on. Hop-by-hop and internal headers are removed.
+	// Header is forwarded. Hop-by-hop and internal headers are removed.
 	Header http.Header
-	// Body is the request body.
-	Body *Body
-	// Policy is what the tree says of the call.
+	Body   *Body
+	// Policy is the effective policy of the call: the policy tree and, when Routed, its
+	// route.
 	Policy policy.Effective
 	// Request identifies the user request in the whole mesh.
 	Request string
-	// RequestID is the caller's name for the request, "" when it has none.
+	// RequestID is the ID that the caller gave the request, "" for none.
 	RequestID string
 	// Credential is the key that the caller presented, "" for none. It is a secret.
 	Credential string
-	// Tenant is the name of the tenant that the call is for, "" when none is known.
+	// Tenant is the name of the tenant, "" when none is known.
 	Tenant string
-	// Repeat says that this attempt, or a request above it, is a repeated one.
+	// Repeat is true when this attempt, or one upstream of it, is a retry.
 	Repeat bool
-	// Tried lists the nodes that earlier attempts went to.
+	// Tried lists the nodes to which earlier attempts were sent.
 	Tried []string
 	// Attempt identifies this attempt of the call.
 	Attempt string
-	// Priority is the priority of the user request.
+	// Priority is the priority of the user request, from 0 (lowest) to
+	// admission.MaximumPriority.
 	Priority int
-	// Deadline is when the answer must be complete, counting the time in which the machine
+	// Deadline is when the answer must be complete. Its clock advances while the machine
 	// is suspended.
 	Deadline clock.Instant
 	// Budget holds the retries that may be spent for the user request here.
 	Budget *retrybudget.Account
-	// ClaimKey is the key under which the call may run at most once. Only the plug-ins
-	// identity and once set and read it; it stays zero with the setting claims: false.
+	// ClaimKey is the key under which the call runs at most once. Only the plug-ins
+	// identity and once use it. It is zero with the setting claims: false.
 	ClaimKey claims.Key
-	// Instance names the incarnation of the back end that the call was handed to, "" before
-	// that and where the back end sends no heartbeats.
+	// Instance is the incarnation of the back end to which the call was forwarded, ""
+	// before that and when the back end sends no heartbeats.
 	Instance string
-	// Fingerprint tells requests with the same key apart: a hash of the body,
-	// 0 when it is streamed.
+	// Fingerprint is a hash of the body, 0 when it is streamed. It distinguishes requests
+	// with the same key.
 	Fingerprint uint64
-	// Hops is the number of calls above this one in the call graph.
+	// Hops is the number of calls upstream of this one in the call graph.
 	Hops int
-	// Execution is the request whose back end makes this call (outbound), or
-	// which this call becomes (inbound). Nil for calls from outside.
+	// Execution is the request for which the back end makes this call (outbound), or the
+	// execution of this call (inbound). It is nil for calls from outside.
 	Execution *Execution
-	// ParentGuessed says that Execution was guessed from the name of the request, which a
-	// caller chooses: it proves nothing about who sent the call.
+	// ParentGuessed is true when Execution was derived from RequestID. Any caller can
+	// choose that ID, so it does not prove who sent the call.
 	ParentGuessed bool
-	// Inbound is true on the way to the own back end.
+	// Inbound is true for calls to the back end of this node.
 	Inbound bool
 	// External is true for calls of callers outside the mesh.
 	External bool
-	// Routed says that the policy comes from the route table.
+	// Routed is true when the service was chosen by the route table.
 	Routed bool
-	// Patience is the time that the caller gave the request, 0 when it did not say.
+	// Patience is the time that the caller is willing to wait, 0 when the caller did not
+	// send one.
 	Patience time.Duration
-	// Pressure is the highest that any attempt of the call met: the time spent
-	// waiting for slots as a multiple of what it should be.
+	// Pressure is the highest pressure seen by an attempt of the call: the time spent in
+	// queues for slots, as a multiple of its target.
 	Pressure float64
-	// RoomAfter is the time after which a call like this one may find room if it is
-	// refused, 0 when nothing is known. Set by the plug-in that admits routes.
+	// RoomAfter is the estimated time until a call like this one can be admitted, 0 when
+	// unknown. It is set by the plug-in that admits calls by route.
 	RoomAfter time.Duration
-	// ReleaseSlot gives back the slot of the back end early. Set by the
-	// admission plug-in, nil before it.
+	// ReleaseSlot releases the slot of the back end early. It is set by the admission
+	// plug-in and nil before it.
 	ReleaseSlot func()
 }
 
-// NotePressure records the pressure that an attempt of a call to another process met,
-// for the call and for the request whose back end makes it.
+// NotePressure records the pressure that another process reported for an attempt, for
+// the call and for the execution that makes it.
 func (c *Call) NotePressure(pressure float64) {
 	c.Pressure = max(c.Pressure, pressure)
 	if c.Execution != nil {
@@ -94,21 +96,21 @@
 	}
 }
 
-// Committed reports whether other services have worked for the user request
-// already, so that their work is lost when the call is refused.
+// Committed reports whether the call has upstream work: other services have already
+// done work for the user request, which is lost when the call is refused.
 func (c *Call) Committed() bool { return c.Hops > 0 }
 
 // Answer is the answer to a call.
 type Answer struct {
 	*http.Response
-	// Replayed is true when this is the stored answer of an earlier run.
+	// Replayed is true for the stored answer of an earlier execution.
 	Replayed bool
-	// Inherited is true when the answer is a failure that follows from a failed call
-	// of the callee's back end, and says nothing about that back end.
+	// Inherited is true when the back end failed because one of its own calls failed.
+	// Such an answer does not count as a fault of that back end.
 	Inherited bool
 }
 
-// Failed reports whether the answer tells of a failure. No answer does not.
+// Failed reports whether the answer has a status of 500 or more. It is false for nil.
 func (a *Answer) Failed() bool {
 	return a != nil && a.StatusCode >= http.StatusInternalServerError
 }
--- a/kernel/caller.go
+++ b/kernel/caller.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// starter begins to serve a request before its turn, nil when it must wait.
+// starter starts to serve a request before its turn. It returns nil when the request
+// must wait.
 type starter func(ctx context.Context, r *http.Request) *pipelined
 
 // callerListener accepts the connections of callers as callerConns.
 type callerListener struct {
 	net.Listener
-	start starter // nil: each request waits for its turn
+	start starter // nil when each request waits for its turn
 }
 
 // Accept implements net.Listener.
@@ -30,140 +31,139 @@
 	return accepted, nil
 }
 
-// callerConn is a connection on which callers may send requests behind the one
-// that is being served.
+// callerConn is a connection on which callers may pipeline requests.
 //
-// It gives the server one request at a time and keeps what comes behind it. Requests
-// behind one that reads only are served beside it, if they may be. The read
-// of one byte by which the server looks for the end of the connection lasts until
-// that end, whatever comes.
+// It passes one request at a time to Go's server and keeps the bytes that follow.
+// Requests after a simple one are served concurrently with it if start accepts them.
+// While a request is served, Go's server detects the close of the connection with a read
+// of one byte. That read returns only at the close, even if more requests arrive.
 //
-// Where the ends of requests are not known, the server gets all bytes. The first byte
-// behind the present request ends its look for the end of the connection, and
-// callerConn looks by itself from then on.
+// When the ends of requests are not known, the server gets all bytes. The first byte
+// after the current request then ends the server's detection of the close, and
+// callerConn polls the connection instead.
 type callerConn struct {
 	net.Conn
 	start   starter
-	context context.Context // ends with the connection
+	context context.Context // cancelled when the connection closes
 	cancel  context.CancelFunc
 
-	// Of the goroutine that reads. The server has only one at a time.
-	scanner boundaryScanner // of what the server has been given
-	kept    []byte          // read, and not given to the server yet
-	buffer  []byte          // of the look for the end of the connection
-	simple  bool            // the request that the server has reads only
-	over    error           // the connection has ended so
+	// Owned by the goroutine that reads. The server has only one at a time.
+	scanner boundaryScanner // scans the bytes passed to the server
+	pending []byte          // read, but not yet passed to the server
+	buffer  []byte          // read buffer of awaitClose
+	simple  bool            // the server's current request is simple
+	readErr error           // read error that ended the connection
 
-	mutex     sync.Mutex
-	queue     []*pipelined // in the order of the connection
-	parsed    int          // bytes of kept that belong to requests that were begun
-	wasBegun  bool         // the request that the server has is the first of the queue
-	answering bool         // the answer to the request that the server has goes out
-	behind    bool         // the server has a byte of a later request
-	gone      func()       // of the request that is being served, nil between requests
-	look      *time.Timer
+	// Guarded by mutex.
+	mutex        sync.Mutex
+	queue        []*pipelined // started requests, in the order of the connection
+	startedBytes int          // bytes of pending that belong to started requests
+	startedEarly bool         // the server's current request is the first of the queue
+	answering    bool         // the answer to the server's current request is being written
+	laterByte    bool         // the server has read a byte of a later request
+	onClose      func()       // called when the caller disconnects, nil between requests
+	pollTimer    *time.Timer  // polls the connection
 }
 
-// Bounds of what is kept of a connection. With them a caller that sends many requests and
-// reads no answer costs a bounded amount of memory.
+// Bounds of the state of a connection, which limit the memory that a caller can use by
+// sending many requests without reading the answers.
 const (
-	maximumPipelined = 8
-	maximumKept      = 16 << 10 // bytes
-	watchBufferSize  = 1 << 10  // bytes
+	maximumPipelined = 8        // started requests
+	maximumPending   = 16 << 10 // bytes
+	readBufferSize   = 1 << 10  // bytes
 )
 
 // Read implements net.Conn.
 func (c *callerConn) Read(data []byte) (int, error) {
-	if c.over != nil {
-		return 0, c.over
+	if c.readErr != nil {
+		return 0, c.readErr
 	}
-	if c.scanner.unsure || c.start == nil {
+	if c.scanner.unknownForm || c.start == nil {
 		return c.readPlain(data)
 	}
 	if len(data) == 1 && c.scanner.atEnd() {
-		return c.watchEnd(data)
+		return c.awaitClose(data)
 	}
-	if len(c.kept) == 0 {
+	if len(c.pending) == 0 {
 		n, err := c.Conn.Read(data)
 		if err != nil {
 			return n, err
 		}
-		c.kept = append(c.kept, data[:n]...)
+		c.pending = append(c.pending, data[:n]...)
 	}
-	return c.give(data), nil
+	return c.deliver(data), nil
 }
 
-// readPlain gives the server what comes.
+// readPlain passes all bytes to the server as they arrive.
 func (c *callerConn) readPlain(data []byte) (int, error) {
 	n, err := 0, error(nil)
-	if len(c.kept) > 0 {
-		n = copy(data, c.kept)
-		c.kept = c.kept[n:]
+	if len(c.pending) > 0 {
+		n = copy(data, c.pending)
+		c.pending = c.pending[n:]
 	} else {
 		n, err = c.Conn.Read(data)
 	}
 	if len(data) == 1 && n == 1 {
-		c.foundMore()
+		c.recordLaterByte()
 	}
 	return n, err
 }
 
-// give gives the server bytes that were kept, up to the end of a request.
-func (c *callerConn) give(data []byte) int {
-	available := c.kept[:min(len(data), len(c.kept))]
+// deliver passes pending bytes to the server, up to the end of a request.
+func (c *callerConn) deliver(data []byte) int {
+	available := c.pending[:min(len(data), len(c.pending))]
 	next := c.scanner.next(available)
 	c.simple = next.simple
 	n := copy(data, available[:next.length])
-	c.kept = c.kept[n:]
+	c.pending = c.pending[n:]
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if next.whole {
-		c.wasBegun = c.parsed > 0
+	if next.complete {
+		c.startedEarly = c.startedBytes > 0
 	}
-	c.parsed = max(c.parsed-n, 0)
+	c.startedBytes = max(c.startedBytes-n, 0)
 	return n
 }
 
-// watchEnd waits for the end of the connection and looks meanwhile at what comes
-// behind the request that the server has. When more comes than is kept, the server
-// is given a byte, which ends its look.
-func (c *callerConn) watchEnd(data []byte) (int, error) {
+// awaitClose waits until the connection closes. Meanwhile it keeps the bytes that arrive
+// and starts the requests in them. When maximumPending is reached, it passes one byte to
+// the server, which ends the server's detection of the close; polling replaces it.
+func (c *callerConn) awaitClose(data []byte) (int, error) {
 	for {
 		c.startPipelined()
-		if len(c.kept) >= maximumKept {
-			n := c.give(data)
-			c.foundMore()
+		if len(c.pending) >= maximumPending {
+			n := c.deliver(data)
+			c.recordLaterByte()
 			return n, nil
 		}
 		if c.buffer == nil {
-			c.buffer = make([]byte, watchBufferSize)
+			c.buffer = make([]byte, readBufferSize)
 		}
 		n, err := c.Conn.Read(c.buffer)
 		if err != nil {
-			c.ended(err)
+			c.fail(err)
 			return 0, err
 		}
-		c.kept = append(c.kept, c.buffer[:n]...)
+		c.pending = append(c.pending, c.buffer[:n]...)
 	}
 }
 
-// ended gives up what was begun on the connection, and what is kept of it, when its
-// end has come.
-func (c *callerConn) ended(err error) {
+// fail cancels the started requests and drops the pending bytes after a read error.
+func (c *callerConn) fail(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return // by this the server ends its look
+		return // the server sets a read deadline to stop its detection of the close
 	}
-	c.over, c.kept = err, nil
+	c.readErr, c.pending = err, nil
 	c.cancel()
 }
 
-// Close implements net.Conn. What was begun on the connection is given up.
+// Close implements net.Conn. It cancels the requests started on the connection.
 func (c *callerConn) Close() error {
 	c.cancel()
 	return c.Conn.Close()
 }
 
-// callerConnOf returns the connection of a caller's request, nil when it is none.
+// callerConnOf returns the connection of a request, nil when it is not a callerConn.
 func callerConnOf(r *http.Request) *callerConn {
 	conn, _ := r.Context().Value(connectionKey{}).(*callerConn)
 	return conn
--- a/kernel/chain.go
+++ b/kernel/chain.go
@@ -1,26 +1,25 @@
 package kernel
 
-// InboundChain is the order of plug-ins for calls that arrive at a node for its
-// back end.
+// InboundChain is the order of plug-ins for calls to the back end of a node.
 var InboundChain = []string{
-	"drain",      // refuse when stopping
-	"deadline",   // refuse what is out of time, bound the rest
-	"instance",   // refuse while the back end is unknown or has left
-	"admission",  // wait for a slot of the back end
-	"once",       // claim what may not be repeated
-	"quarantine", // refuse what crashes back ends
-	"forward",    // hand to the back end
+	"drain",      // refuses calls when the process stops
+	"deadline",   // refuses calls past their deadline, sets the timeout of others
+	"instance",   // refuses calls while the back end is unknown or has left
+	"admission",  // waits for a slot of the back end
+	"once",       // claims calls that run at most once
+	"quarantine", // refuses calls that crash back ends
+	"forward",    // sends the call to the back end
 }
 
-// OutboundChain is the order of plug-ins for calls that leave a gateway or that
-// a back end makes through its node.
+// OutboundChain is the order of plug-ins for calls that a gateway receives, and for
+// calls that a back end makes through its node.
 var OutboundChain = []string{
-	"drain",    // refuse new callers when stopping (gateways)
-	"tenant",   // refuse callers without a good key, name their tenant
-	"quota",    // refuse what is beyond the quota of a tenant
-	"deadline", // refuse what is out of time, bound the rest
-	"shed",     // refuse a share of a route under pressure
-	"identity", // name calls that may not be repeated
-	"retry",    // repeat attempts within the budget
-	"routing",  // refuse early, choose a node, send
+	"drain",    // refuses external calls when a gateway stops
+	"tenant",   // refuses callers without a valid key, sets the tenant
+	"quota",    // refuses calls beyond the quota of their tenant
+	"deadline", // refuses calls past their deadline, sets the timeout of others
+	"shed",     // refuses a share of the calls of a route under pressure
+	"identity", // sets the keys of calls that run at most once
+	"retry",    // retries failed attempts within the budget
+	"routing",  // refuses calls below the level, chooses a node and sends the call
 }
--- a/kernel/control.go
+++ b/kernel/control.go
@@ -13,9 +13,9 @@
 	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
-// ControlClient sends control messages to other processes, over kratos HTTP
-// clients that share one connection pool. Neither its discovery nor its node
-// selection is used: each client has one fixed address.
+// ControlClient sends control messages to other processes over kratos HTTP clients that
+// share a connection pool. Each client has one fixed address; the discovery and node
+// selection of kratos are not used.
 type ControlClient struct {
 	mutex     sync.Mutex
 	transport *http.Transport
@@ -23,7 +23,6 @@
 	counters  *Counters
 }
 
-// Bounds of the control client.
 const (
 	maximumControlClients = 2048
 	controlDialTimeout    = time.Second
@@ -31,8 +30,8 @@
 	controlIdleConns      = 16
 )
 
-// NewControlClient returns a further client, which keeps its connections for a time. It
-// suits messages that go to the same process again and again.
+// NewControlClient returns a client with a connection pool of its own, for frequent
+// messages to the same process. It closes connections that are idle for longer than idle.
 func (p *Process) NewControlClient(idle time.Duration) *ControlClient {
 	return newControlClient(&p.Counters, p.Dial, idle)
 }
@@ -60,7 +59,7 @@
 	}
 }
 
-// client returns the client of one address.
+// client returns the client of an address. When the table is full, it is cleared first.
 func (c *ControlClient) client(address string) (*kratoshttp.Client, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -79,7 +78,8 @@
 	return created, nil
 }
 
-// Invoke sends one control message and decodes the answer into reply.
+// Invoke sends a control message and decodes the answer into reply. It returns a
+// result.NodeUnreachable error on failure.
 func (c *ControlClient) Invoke(ctx context.Context, address, method, path string, message, reply any) error {
 	client, err := c.client(address)
 	if err != nil {
--- a/kernel/control_conn.go
+++ b/kernel/control_conn.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// countingListener counts the bytes of control messages.
+// countingListener accepts connections as controlConns.
 type countingListener struct {
 	net.Listener
 	counters *Counters
@@ -17,7 +17,7 @@
 	return controlConn{Conn: conn, counters: l.counters}, nil
 }
 
-// controlConn is a connection whose bytes are counted.
+// controlConn is a connection that adds the bytes it transfers to the control counters.
 type controlConn struct {
 	net.Conn
 	counters *Counters
--- a/kernel/counters.go
+++ b/kernel/counters.go
@@ -10,16 +10,16 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Counters are the counts that the kernel keeps.
+// Counters are the counters of a process that the kernel exports as metrics.
 type Counters struct {
 	Retries   atomic.Int64
 	Pipelined atomic.Int64
-	// LoadsNotUnderstood counts answers of the back end with a load that makes no sense.
+	// LoadsNotUnderstood counts answers of the back end with an invalid load.
 	LoadsNotUnderstood atomic.Int64
 	Suspended          atomic.Int64 // milliseconds
 	ControlSent        atomic.Int64 // bytes
 	ControlReceived    atomic.Int64 // bytes
-	ControlMessages    atomic.Int64 // sent
+	ControlMessages    atomic.Int64 // messages sent
 
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -27,13 +27,13 @@
 
 // Directions of requests in metrics.
 const (
-	// DirectionInbound is that of requests to the own back end.
+	// DirectionInbound is the direction of requests to the back end of this node.
 	DirectionInbound  = "inbound"
 	directionOutbound = "outbound"
 	directionGateway  = "gateway"
 )
 
-// register creates the metrics.
+// register creates the metrics and registers them.
 func (c *Counters) register(registry *prometheus.Registry) {
 	c.requests = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "loomcleat_requests_total",
@@ -60,7 +60,7 @@
 		func() float64 { return float64(value.Load()) })
 }
 
-// observe counts one request.
+// observe counts a request with its result (0 without an error) and its duration.
 func (c *Counters) observe(direction string, err error, taken time.Duration) {
 	code := 0
 	if err != nil {
--- a/kernel/duplex.go
+++ b/kernel/duplex.go
@@ -8,15 +8,13 @@
 	"time"
 )
 
-// streamBothWays lets the answer begin before the request has ended; without
-// it, Go's server reads the rest of the request first. It returns a function
-// that must be called at the end of the handler.
+// streamBothWays allows the answer to begin before the request body is read; without
+// it, Go's server reads the rest of the request first. The handler must call finish
+// before it returns.
 //
-// Two things must not be left to the server then. The transport may still read
-// the body in a goroutine of its own when the handler returns, and the server
-// panics when it finds an unread body that ends while it looks for the next
-// request. Therefore reading is stopped, and what is left of a short body is
-// read here.
+// When the handler returns, the transport may still be reading the body in its own
+// goroutine, and the server panics if an unread body ends while it reads the next
+// request. finish therefore stops the reader and reads the rest of a short body.
 func streamBothWays(w http.ResponseWriter, r *http.Request) (finish func()) {
 	controller := http.NewResponseController(w)
 	_ = controller.EnableFullDuplex()
@@ -26,32 +24,32 @@
 		if body.ended() {
 			return
 		}
-		_ = controller.SetReadDeadline(time.Now().Add(leftoverTime))
+		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 		body.discard()
 	}
 }
 
-// Bounds of what is read of a request that has been answered.
+// Bounds of discarding the rest of a request body after the answer.
 const (
-	leftoverTime  = 100 * time.Millisecond
-	leftoverBytes = 256 << 10
+	discardTimeout   = 100 * time.Millisecond
+	maximumDiscarded = 256 << 10
 )
 
-// guardedBody is a request body that is not read after it was closed.
+// guardedBody is a request body whose Close prevents later reads.
 type guardedBody struct {
-	source io.ReadCloser
-	mutex  sync.Mutex // held while reading
-	state  sync.Mutex
-	closed bool
-	atEnd  bool
+	source     io.ReadCloser
+	readMutex  sync.Mutex // held while reading
+	stateMutex sync.Mutex // guards closed and atEnd
+	closed     bool
+	atEnd      bool // a read returned an error, io.EOF included
 }
 
 var errBodyClosed = errors.New("the request body is closed")
 
 // Read implements io.Reader.
 func (b *guardedBody) Read(data []byte) (int, error) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
 	if b.isClosed() {
 		return 0, errBodyClosed
 	}
@@ -61,40 +59,41 @@
 func (b *guardedBody) read(data []byte) (int, error) {
 	n, err := b.source.Read(data)
 	if err != nil {
-		b.state.Lock()
+		b.stateMutex.Lock()
 		b.atEnd = true
-		b.state.Unlock()
+		b.stateMutex.Unlock()
 	}
 	return n, err
 }
 
-// Close implements io.Closer. It does not wait for a read that has begun.
+// Close implements io.Closer. It does not wait for a read in progress.
 func (b *guardedBody) Close() error {
-	b.state.Lock()
-	defer b.state.Unlock()
+	b.stateMutex.Lock()
+	defer b.stateMutex.Unlock()
 	b.closed = true
 	return nil
 }
 
 func (b *guardedBody) isClosed() bool {
-	b.state.Lock()
-	defer b.state.Unlock()
+	b.stateMutex.Lock()
+	defer b.stateMutex.Unlock()
 	return b.closed
 }
 
 func (b *guardedBody) ended() bool {
-	b.state.Lock()
-	defer b.state.Unlock()
+	b.stateMutex.Lock()
+	defer b.stateMutex.Unlock()
 	return b.atEnd
 }
 
-// discard stops other readers and reads the rest of a short body.
+// discard closes the body for other readers and reads the rest of it, up to
+// maximumDiscarded.
 func (b *guardedBody) discard() {
 	_ = b.Close()
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.readMutex.Lock()
+	defer b.readMutex.Unlock()
 	buffer := make([]byte, 8<<10)
-	for total := 0; total < leftoverBytes && !b.ended(); {
+	for total := 0; total < maximumDiscarded && !b.ended(); {
 		n, err := b.read(buffer)
 		total += n
 		if err != nil {
--- a/kernel/execution.go
+++ b/kernel/execution.go
@@ -8,34 +8,35 @@
 	"github.com/loomcleat/loomcleat/retrybudget"
 )
 
-// Execution is a request that the back end of this node is working on. The
-// calls that the back end makes for it are tied to it by its token.
+// Execution is a request on which the back end of this node is working. The calls that
+// the back end makes for it carry its token.
 type Execution struct {
-	Token   string
+	Token string
+	// Request identifies the user request.
 	Request string
-	// Identity names this execution in the keys of the calls that it makes. It is the key
-	// under which it runs, "" with the setting claims: false.
+	// Identity is the key under which the request runs, "" with the setting claims: false.
+	// It is part of the keys of the calls that the back end makes.
 	Identity string
 	Priority int
 	Deadline clock.Instant
 	Budget   *retrybudget.Account
 	Hops     int
-	// RequestID is the caller's name for the request, "" when it has none.
+	// RequestID is the ID that the caller gave the request, "" for none.
 	RequestID string
-	// Repeat says that the request is, or was made by, a repeated attempt.
+	// Repeat is true when the attempt, or one upstream of it, is a retry.
 	Repeat bool
 
 	mutex    sync.Mutex
-	children int
-	since    time.Time // when children became more than 0
-	waited   time.Duration
+	children int           // open calls of the back end
+	since    time.Time     // when the first of them began
+	waited   time.Duration // earlier time with open calls
 	level    int
 	pressure float64
-	failed   bool // a call of the back end failed
-	ordinals map[uint64]int
+	failed   bool           // a call of the back end failed
+	ordinals map[uint64]int // number of calls by content
 }
 
-// BeginChild records that the back end waits for a call of its own.
+// BeginChild records the start of a call that the back end makes.
 func (e *Execution) BeginChild(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -45,7 +46,7 @@
 	e.children++
 }
 
-// EndChild records that such a call has ended.
+// EndChild records the end of a call that the back end made.
 func (e *Execution) EndChild(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -55,7 +56,7 @@
 	}
 }
 
-// Waited returns the time in which at least one call of the back end was open.
+// Waited returns the total time with at least one open call of the back end.
 func (e *Execution) Waited(now time.Time) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -72,45 +73,44 @@
 	e.level = max(e.level, level)
 }
 
-// NotePressure records the pressure that this execution or a call of the back
-// end met.
+// NotePressure records a pressure seen by this execution or reported for a call of the
+// back end.
 func (e *Execution) NotePressure(pressure float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.pressure = max(e.pressure, pressure)
 }
 
-// Pressure returns the highest pressure that was noted.
+// Pressure returns the highest recorded pressure.
 func (e *Execution) Pressure() float64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.pressure
 }
 
-// NoteCallFailed records that a call that the back end made has failed.
-func (e *Execution) NoteCallFailed() {
+// RecordCallFailure records that a call of the back end failed.
+func (e *Execution) RecordCallFailure() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.failed = true
 }
 
-// CallFailed reports whether a call that the back end made has failed.
+// CallFailed reports whether a call of the back end failed.
 func (e *Execution) CallFailed() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.failed
 }
 
-// Level returns the highest level that was noted.
+// Level returns the highest recorded admission level.
 func (e *Execution) Level() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.level
 }
 
-// Ordinal returns how many calls with the same content this execution has made
-// before, so that each gets a key of its own, and the same one when the whole
-// execution is repeated.
+// Ordinal returns the number of earlier calls with the same content. It gives each call
+// a distinct key, which stays the same when the request is executed again.
 func (e *Execution) Ordinal(content uint64) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/kernel/executions.go
+++ b/kernel/executions.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// executionShards spreads the lock of the table.
+// executionShards is the number of shards of the table, each with its own lock.
 const executionShards = 64
 
-// executionTable is the table of the requests that the back end is working on.
+// executionTable holds the executions in progress by token and by request ID.
 type executionTable struct {
 	prefix string
 	next   atomic.Uint64
@@ -36,7 +36,7 @@
 	return &t.shards[digest.Sum32()%executionShards]
 }
 
-// add gives the execution a token and enters it.
+// add assigns a token to the execution and stores it.
 func (t *executionTable) add(execution *Execution) {
 	execution.Token = t.prefix + "." + strconv.FormatUint(t.next.Add(1), 36)
 	t.put(execution.Token, execution)
@@ -45,8 +45,8 @@
 	}
 }
 
-// requestKey is the key of the caller's name for a request. It never equals a
-// token, which begins with the id of the process.
+// requestKey returns the key of a request ID. The leading space keeps it distinct from
+// tokens, which begin with the ID of the process.
 func requestKey(requestID string) string { return " " + requestID }
 
 func (t *executionTable) put(key string, execution *Execution) {
@@ -56,7 +56,7 @@
 	shard.mutex.Unlock()
 }
 
-// remove ends an execution.
+// remove deletes a finished execution.
 func (t *executionTable) remove(execution *Execution) {
 	t.drop(execution.Token, execution)
 	if execution.RequestID != "" {
@@ -64,7 +64,7 @@
 	}
 }
 
-// drop removes a key unless it stands for another execution by now.
+// drop deletes a key unless another execution has replaced this one.
 func (t *executionTable) drop(key string, execution *Execution) {
 	shard := t.shard(key)
 	shard.mutex.Lock()
@@ -74,8 +74,7 @@
 	shard.mutex.Unlock()
 }
 
-// findRequest returns the execution of the request with the caller's name, nil
-// when there is none.
+// findRequest returns the execution with the given request ID, nil when there is none.
 func (t *executionTable) findRequest(requestID string) *Execution {
 	return t.find(requestKey(requestID))
 }
--- a/kernel/identity.go
+++ b/kernel/identity.go
@@ -8,29 +8,29 @@
 	"github.com/google/uuid"
 )
 
-// identities names things so that no two processes, nor two runs of one, give
-// the same name. A name costs no system call.
+// identities generates names that are unique across processes and restarts. After set-up
+// it makes no system call.
 type identities struct {
 	prefix string
 	next   atomic.Uint64
 }
 
-// identityPrefix is the length of the random part of a name: 48 bits, in which
-// 1000 processes share one with a probability of 2 in a billion.
-const identityPrefix = 12
+// identityPrefixLength is the length of the random prefix of a name: 12 hexadecimal digits, or
+// 48 bits, make a collision among thousands of processes very unlikely.
+const identityPrefixLength = 12
 
-// setUp draws the random part.
+// setUp generates the random prefix.
 func (i *identities) setUp() {
 	random := strings.ReplaceAll(uuid.NewString(), "-", "")
-	i.prefix = random[len(random)-identityPrefix:] + "-"
+	i.prefix = random[len(random)-identityPrefixLength:] + "-"
 }
 
 func (i *identities) name() string {
 	return i.prefix + strconv.FormatUint(i.next.Add(1), identityBase)
 }
 
-// identityBase is the base of the counting part of a name.
+// identityBase is the numeral base of the counter in a name.
 const identityBase = 36
 
-// NewIdentity returns a name that nothing else in the mesh has.
+// NewIdentity returns a name that is unique in the mesh.
 func (p *Process) NewIdentity() string { return p.identities.name() }
--- a/kernel/imports_test.go
+++ b/kernel/imports_test.go
@@ -11,12 +11,12 @@
 	"github.com/matryer/is"
 )
 
-// upperFolders are programs, tests and tools: what may import internal/.
+// upperFolders hold programs, tests and tools, which may import internal/.
 var upperFolders = []string{"internal/", "cmd/", "e2e/", "target/", ".git/"}
 
-// TestNothingImportsUpward: the product's packages rest on each other and on package
-// transport, not on the stand-ins, labs and command lines in internal/.
-func TestNothingImportsUpward(t *testing.T) {
+// TestProductDoesNotImportInternal guards against product packages that depend on the
+// stubs, labs and command lines in internal/.
+func TestProductDoesNotImportInternal(t *testing.T) {
 	is := is.New(t)
 	root := ".."
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
--- a/kernel/inbound.go
+++ b/kernel/inbound.go
@@ -12,13 +12,13 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// serveInbound serves a call of another process for the own back end.
+// serveInbound serves a call of another process to the back end of this node.
 func (p *Process) serveInbound(w http.ResponseWriter, r *http.Request) {
 	p.serve(w, r, DirectionInbound, p.inbound, p.inboundCall)
 }
 
-// addReport adds to an answer what the calling process needs to know. answer is nil when
-// the call was refused.
+// addReport writes the report for the calling process into the header of an answer.
+// answer is nil when the call was refused.
 func (p *Process) addReport(header http.Header, call *Call, answer *Answer) {
 	report := wire.Report{
 		Attempt:   call.Attempt,
@@ -30,20 +30,20 @@
 		Replayed:  answer != nil && answer.Replayed,
 	}
 	if p.hooks.occupancy != nil {
-		own := p.hooks.occupancy(time.Now())
-		report.Level = max(report.Level, own.Level)
-		report.LoadKnown, report.Load = true, own.Load
-		report.Faults = own.Faults
+		occupancy := p.hooks.occupancy(time.Now())
+		report.Level = max(report.Level, occupancy.Level)
+		report.LoadKnown, report.Load = true, occupancy.Load
+		report.Faults = occupancy.Faults
 	}
 	report.Write(header)
 }
 
-// inboundCall builds a call from another process for the own back end.
+// inboundCall builds a call of another process to the back end of this node.
 func (p *Process) inboundCall(r *http.Request) (*Call, error) {
-	told := wire.ReadCallContext(r.Header)
+	received := wire.ReadCallContext(r.Header)
 	service := p.Settings.Service
-	if told.Service != "" && told.Service != service {
-		return nil, result.New(result.NodeRefused, "this node serves %s, not %s", service, told.Service)
+	if received.Service != "" && received.Service != service {
+		return nil, result.New(result.NodeRefused, "this node serves %s, not %s", service, received.Service)
 	}
 	if err := p.checkReady(); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	}
 	call.Inbound = true
 	call.Tenant = p.Dialect.ReadTenant(call.Header)
-	p.readContext(call, &told)
+	p.readContext(call, &received)
 	wire.RemoveInternal(call.Header)
 	call.Execution = &Execution{
 		Request:  call.Request,
@@ -68,26 +68,26 @@
 		Repeat:    call.Repeat,
 	}
 	for _, read := range p.hooks.readContext {
-		if err := read(call, &told); err != nil {
+		if err := read(call, &received); err != nil {
 			return nil, err
 		}
 	}
 	return call, nil
 }
 
-// readContext takes what another process told with a call. A call without a context
+// readContext copies the received call context into the call. A call without a context
 // comes from outside the mesh and gets no retries and the lowest priority.
-func (p *Process) readContext(call *Call, told *wire.CallContext) {
-	call.Request, call.Attempt = told.Request, told.Attempt
+func (p *Process) readContext(call *Call, received *wire.CallContext) {
+	call.Request, call.Attempt = received.Request, received.Attempt
 	if call.Request == "" {
-		p.grant(call, policy.Bulk, 0)
+		p.startUserRequest(call, policy.Bulk, 0)
 		call.Priority = 0
 		return
 	}
-	call.Deadline = clock.Now().Add(told.Remaining)
-	call.Priority = min(max(told.Priority, 0), admission.MaximumPriority)
-	call.Budget = retrybudget.Open(min(told.Budget, policy.MaximumRetryBudget))
-	call.Hops = told.Hops
-	call.Repeat = told.Repeat
-	call.Policy.TargetLatency = told.Target
+	call.Deadline = clock.Now().Add(received.Remaining)
+	call.Priority = min(max(received.Priority, 0), admission.MaximumPriority)
+	call.Budget = retrybudget.Open(min(received.Budget, policy.MaximumRetryBudget))
+	call.Hops = received.Hops
+	call.Repeat = received.Repeat
+	call.Policy.TargetLatency = received.Target
 }
--- a/kernel/json.go
+++ b/kernel/json.go
@@ -7,7 +7,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// WriteJSON answers a control request.
+// WriteJSON answers a control request with value as JSON.
 func WriteJSON(w http.ResponseWriter, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -18,12 +18,12 @@
 	_, _ = w.Write(data)
 }
 
-// maximumControlBody bounds control messages, in bytes. The largest are claims
-// that are handed over.
+// maximumControlBody is the largest control message, in bytes. The largest ones transfer
+// claims to another replica.
 const maximumControlBody = 64 << 20
 
-// ReadJSON reads a control request and answers it when it is malformed. It
-// reports whether the request was read.
+// ReadJSON decodes a control request. When it is malformed, ReadJSON answers it with
+// result.BadRequest and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maximumControlBody))
 	if err := decoder.Decode(into); err != nil {
--- a/kernel/lifecycle.go
+++ b/kernel/lifecycle.go
@@ -9,10 +9,11 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// readinessInterval is the time between two checks of readiness.
+// readinessInterval is the time between two checks of the readiness conditions.
 const readinessInterval = 20 * time.Millisecond
 
-// Start serves until Stop. It implements transport.Server of kratos.
+// Start serves until Stop or Kill. It returns an error when a listener fails. It
+// implements transport.Server of kratos.
 func (p *Process) Start(context.Context) error {
 	p.logStart()
 	p.HandleControl("GET "+wire.PathStatus, p.serveStatus)
@@ -33,7 +34,7 @@
 	}
 }
 
-// logStart writes the line of a start: who this is and the settings in force.
+// logStart logs the start of the process with its ID and settings.
 func (p *Process) logStart() {
 	s := &p.Settings
 	p.Log.Emit(event.ProcessStarting, "id", p.ID, "role", string(s.Role), "region", s.Region, "zone", s.Zone,
@@ -44,7 +45,7 @@
 		"backend_drain", s.BackendDrain.Std().String(), "stop_within", s.StopWithin.Std().String())
 }
 
-// waitReady marks the process ready once all conditions hold.
+// waitReady waits until all readiness conditions hold, then marks the process as ready.
 func (p *Process) waitReady() {
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
@@ -68,10 +69,10 @@
 	return true
 }
 
-// Stop ends the process in order: it says that it is not ready and still takes requests
-// for the announce time, near the end of which it tells its peers that it leaves, then
-// refuses new ones and waits for those in flight, then ends. It implements
-// transport.Server of kratos.
+// Stop shuts the process down gracefully. For the announce time its readiness probe fails
+// but it still accepts requests; near the end of that time it announces to its peers that
+// it leaves. Then it refuses new requests, waits for those in flight, and stops. It
+// implements transport.Server of kratos.
 func (p *Process) Stop(ctx context.Context) error {
 	p.stopOnce.Do(func() { p.stop(ctx) })
 	return nil
@@ -92,24 +93,24 @@
 	close(p.stopped)
 }
 
-// drainHookTimeout bounds what plug-ins do before the process refuses requests.
+// drainHookTimeout is the minimum time given to the OnDrain functions.
 const drainHookTimeout = 5 * time.Second
 
-// peerNotice is how long before it refuses requests a stopping process tells its peers.
-// Gossip reaches all of a mesh of hundreds well within it. Callers that look at
-// readiness need longer to go elsewhere; if peers avoided the process as long, its back
-// end, which stays, would stand idle for seconds at each restart.
+// peerNotice is the time between the announcement to the peers and the refusal of
+// requests. It is long enough for gossip to reach all peers. It is shorter than the
+// announce time, which is meant for clients that poll the readiness probe: peers avoid the
+// node as soon as they receive the announcement, and its back end is idle from then on.
 const peerNotice = time.Second
 
-// announce tells the peers that the process leaves. It fails only when the time to stop
-// has run out: then the process ends at once, and the peers notice its silence.
+// announce announces to the peers that the process leaves. It fails only when the time to
+// stop has run out. The process then stops at once, and peers detect it by their probes.
 func (p *Process) announce(ctx context.Context) {
 	p.announced.Store(true)
 	_ = p.Loop.Do(ctx, func(time.Time) { p.Mesh.SetState(true, false) })
 }
 
-// waitAnnounced waits for the announce time, tells the peers in time, and waits for the
-// plug-ins that hand something over.
+// waitAnnounced waits for the announce time, announces the leave to the peers within it,
+// and waits for the OnDrain functions.
 func (p *Process) waitAnnounced(ctx context.Context) {
 	announce, _ := p.Settings.StopTimes()
 	Pause(ctx, announce-peerNotice)
@@ -129,8 +130,8 @@
 	group.Wait()
 }
 
-// Go runs a function in a goroutine of its own. A stopping process waits for it
-// as for a request in flight.
+// Go runs a function in its own goroutine. It counts as a request in flight, for which a
+// stopping process waits.
 func (p *Process) Go(run func()) {
 	p.inFlight.Add(1)
 	go func() {
@@ -139,8 +140,8 @@
 	}()
 }
 
-// waitIdle waits until no request is in flight and reports whether that came
-// within the drain timeout.
+// waitIdle waits until no request is in flight. It returns false when the drain timeout
+// passes or ctx ends first.
 func (p *Process) waitIdle(ctx context.Context) bool {
 	_, drain := p.Settings.StopTimes()
 	ctx, cancel := context.WithTimeout(ctx, drain)
@@ -157,8 +158,8 @@
 	return true
 }
 
-// Kill ends the process at once, as a crash would: nothing is announced and
-// requests in flight are cut off.
+// Kill stops the process at once, as a crash would: it announces nothing and aborts the
+// requests in flight.
 func (p *Process) Kill() {
 	p.stopOnce.Do(func() {
 		p.servers.kill()
--- a/kernel/limits.go
+++ b/kernel/limits.go
@@ -7,9 +7,9 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// checkLimits refuses a caller's request that is larger than the policy allows.
-// A body whose length is not known is cut off at the limit, which breaks the
-// request. It returns result.HeaderTooLarge and result.BodyTooLarge errors.
+// checkLimits refuses a request whose header or body is larger than the policy allows,
+// with a result.HeaderTooLarge or result.BodyTooLarge error. Reading a body of unknown
+// length fails at the limit.
 func checkLimits(r *http.Request, limits policy.Limits) error {
 	if limits.MaximumHeader > 0 {
 		if size := headerSize(r); size > limits.MaximumHeader {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// headerSize returns the bytes of the names and values of a header and of the
-// target. What separates them is not counted.
+// headerSize returns the size in bytes of the request target, the host and the names and
+// values of the header, without separators.
 func headerSize(r *http.Request) int64 {
 	size := len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/kernel/limits_test.go
+++ b/kernel/limits_test.go
@@ -13,19 +13,19 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-func TestLimits(t *testing.T) {
+func TestRequestLimits(t *testing.T) {
 	limits := policy.Limits{MaximumHeader: 100, MaximumBody: 10}
 	for name, c := range map[string]struct {
 		limits policy.Limits
 		header int
 		body   int
-		want   result.Code // 0: it is taken
+		want   result.Code // 0 when accepted
 		status int
 	}{
-		"within both":     {limits, 50, 10, 0, 0},
-		"a long header":   {limits, 200, 1, result.HeaderTooLarge, http.StatusRequestHeaderFieldsTooLarge},
-		"a long body":     {limits, 1, 11, result.BodyTooLarge, http.StatusRequestEntityTooLarge},
-		"no limits known": {policy.Limits{}, 5000, 5000, 0, 0},
+		"within both":   {limits, 50, 10, 0, 0},
+		"a long header": {limits, 200, 1, result.HeaderTooLarge, http.StatusRequestHeaderFieldsTooLarge},
+		"a long body":   {limits, 1, 11, result.BodyTooLarge, http.StatusRequestEntityTooLarge},
+		"no limits":     {policy.Limits{}, 5000, 5000, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestABodyOfUnknownLengthIsCutAtTheLimit so that it never looks whole.
-func TestABodyOfUnknownLengthIsCutAtTheLimit(t *testing.T) {
+// TestUnknownLengthBodyFailsAtLimit guards against a truncated body that looks complete.
+func TestUnknownLengthBodyFailsAtLimit(t *testing.T) {
 	is := is.New(t)
 	r := httptest.NewRequest(http.MethodPost, "/x", io.NopCloser(strings.NewReader("eleven byte")))
 	r.ContentLength = -1
--- a/kernel/listeners.go
+++ b/kernel/listeners.go
@@ -7,13 +7,14 @@
 	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
-// listeners are the bound addresses of a process.
+// listeners are the bound listeners of a process.
 type listeners struct {
 	traffic, outbound, control, admin net.Listener
-	endpoints                         []net.Listener // as Process.endpoints
+	endpoints                         []net.Listener // in the order of Process.endpoints
 }
 
-// listen binds all addresses, or none.
+// listen binds all addresses of the settings and endpoints. If one cannot be bound, it
+// closes the others and returns a result.AddressInUse error.
 func (p *Process) listen() error {
 	targets := []struct {
 		address string
--- a/kernel/loop.go
+++ b/kernel/loop.go
@@ -9,36 +9,38 @@
 )
 
 // Task is a step of the control loop. It must not block. now is a reading of clock.Now,
-// which counts suspensions: what the loop owns must hold by the time of others.
+// which advances while the machine is suspended, so that control state expires by the
+// same time as in other processes.
 type Task func(now time.Time)
 
-// Loop is the one goroutine that owns the control state of a process. All
-// changes of that state are Tasks that it runs one after the other.
+// Loop is the goroutine that owns the control state of a process. It runs all changes of
+// that state as Tasks, one at a time.
 type Loop struct {
 	tasks   chan Task
 	periods []period
 	done    chan struct{}
 }
 
-// period is a Task that is run again and again.
+// period is a Task that runs at an interval.
 type period struct {
 	interval time.Duration
 	task     Task
 }
 
-// loopQueue is the number of tasks that may wait.
+// loopQueue is the maximum number of queued tasks.
 const loopQueue = 4096
 
 func newLoop() *Loop {
 	return &Loop{tasks: make(chan Task, loopQueue), done: make(chan struct{})}
 }
 
-// Every runs task at each interval. It must be called before the loop starts.
+// Every runs task at the start of the loop and then once per interval. It must be called
+// before the loop starts.
 func (l *Loop) Every(interval time.Duration, task Task) {
 	l.periods = append(l.periods, period{interval, task})
 }
 
-// Post queues a task and reports whether there was room. It never blocks.
+// Post queues a task without blocking. It reports whether the queue had room for it.
 func (l *Loop) Post(task Task) bool {
 	select {
 	case l.tasks <- task:
@@ -48,7 +50,9 @@
 	}
 }
 
-// Do queues a task and waits until it has run.
+// Do queues a task and waits until it has run. It returns a result.NotReady error when
+// ctx ends first, after which the task may still run, and a result.Draining error when
+// the loop has stopped.
 func (l *Loop) Do(ctx context.Context, task Task) error {
 	finished := make(chan struct{})
 	wrapped := func(now time.Time) {
@@ -72,12 +76,12 @@
 	}
 }
 
-// Ask runs a question on the control loop and returns its answer. When the caller
-// stops waiting, the question may still run; its answer is then dropped. That is
-// why a Task given to Do must not write to variables that its caller reads.
-func Ask[T any](ctx context.Context, loop *Loop, question func(now time.Time) T) (T, error) {
+// Ask runs query on the control loop and returns its result. If ctx ends first, query
+// may still run and its result is dropped. A Task passed to Do must not write to variables
+// of its caller for the same reason. The errors are those of Do.
+func Ask[T any](ctx context.Context, loop *Loop, query func(now time.Time) T) (T, error) {
 	answers := make(chan T, 1)
-	if err := loop.Do(ctx, func(now time.Time) { answers <- question(now) }); err != nil {
+	if err := loop.Do(ctx, func(now time.Time) { answers <- query(now) }); err != nil {
 		var none T
 		return none, err
 	}
@@ -100,7 +104,7 @@
 	}
 }
 
-// repeat posts a periodic task at its times.
+// repeat runs a periodic task on the loop until ctx ends.
 func (l *Loop) repeat(ctx context.Context, p period) {
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
--- a/kernel/options.go
+++ b/kernel/options.go
@@ -11,26 +11,25 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Options are what a Process is given by the program that embeds it.
+// Options are the inputs of a Process from the program that embeds it.
 type Options struct {
 	Settings settings.Settings
 	Log      *event.Logger
-	Store    store.Store       // nil: none
-	Machines store.MachineList // nil: none
-	// Dial opens connections to other processes. Embedders may use it to reach
-	// them in another way, tests to cut them off. Default: a net.Dialer.
+	Store    store.Store       // optional
+	Machines store.MachineList // optional
+	// Dial opens connections to other processes. The default is a socket.Dialer.
 	Dial DialFunc
-	// Dialect names the headers of callers and back ends. The zero value is
-	// that of plain HTTP.
+	// Dialect names the headers used by callers and back ends. The zero value stands
+	// for plain HTTP.
 	Dialect wire.Dialect
-	// Endpoints are further listeners, for what the platform asks of a process.
+	// Endpoints are additional listeners that the platform requires of a process.
 	Endpoints []Endpoint
-	// Registry is where the process enters itself, so that others find it.
-	// Nil: none.
+	// Registry is where the process registers itself so that other processes find it.
+	// Optional.
 	Registry store.Registry
 }
 
-// Endpoint is a listener that is served apart from those of the settings.
+// Endpoint is a listener in addition to those of the settings.
 type Endpoint struct {
 	Address string // IP:port
 	Handler func(process *Process) http.Handler
--- a/kernel/outbound.go
+++ b/kernel/outbound.go
@@ -15,17 +15,18 @@
 	p.serve(w, r, directionGateway, p.outbound, p.gatewayCall)
 }
 
-// serveOutbound serves a call that the own back end makes.
+// serveOutbound serves a call that the back end of this node makes.
 func (p *Process) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	p.serve(w, r, directionOutbound, p.outbound, p.outboundCall)
 }
 
-// outgoingCall builds a call that is to be routed to a service.
+// outgoingCall builds a call that will be routed to a service. service returns the name
+// of that service when there is no route table.
 func (p *Process) outgoingCall(r *http.Request, service func(*http.Request) string) (*Call, error) {
 	if err := p.checkReady(); err != nil {
 		return nil, err
 	}
-	to, err := p.routed(r, service)
+	to, err := p.routeTarget(r, service)
 	if err != nil {
 		return nil, err
 	}
@@ -43,34 +44,34 @@
 	return call, nil
 }
 
-// gatewayCall builds the call of a caller outside the mesh. Nothing that the
-// caller says about priority, budget or identity inside the mesh counts.
+// gatewayCall builds the call of a caller outside the mesh. It ignores the internal
+// headers (priority, budget, identity) that the caller may have sent.
 func (p *Process) gatewayCall(r *http.Request) (*Call, error) {
 	call, err := p.outgoingCall(r, p.routeService)
 	if err != nil {
 		return nil, err
 	}
 	wire.RemoveInternal(call.Header)
-	p.admitCaller(call)
+	p.startExternal(call)
 	return call, nil
 }
 
-// admitCaller starts the user request of a caller outside the mesh.
-func (p *Process) admitCaller(call *Call) {
+// startExternal starts a user request for a caller outside the mesh.
+func (p *Process) startExternal(call *Call) {
 	call.External = true
-	p.grant(call, call.Policy.Class, call.Policy.RetryBudget)
+	p.startUserRequest(call, call.Policy.Class, call.Policy.RetryBudget)
 }
 
-// grant starts a user request.
-func (p *Process) grant(call *Call, class policy.Class, retries int) {
+// startUserRequest starts a user request with the given class and number of retries.
+func (p *Process) startUserRequest(call *Call, class policy.Class, retries int) {
 	call.Request = p.NewIdentity()
 	call.Priority = admission.Priority(int(class), call.Request)
 	call.Deadline = p.deadlineOf(call)
 	call.Budget = retrybudget.Open(retries)
 }
 
-// outboundHandler serves the outbound listener: calls of the own back end, and
-// at an entry those of callers outside the mesh as well.
+// outboundHandler returns the handler of the outbound listener, which serves calls of the
+// back end and, at an entry, also calls from outside the mesh.
 func (p *Process) outboundHandler() http.Handler {
 	if p.Settings.Entry {
 		return http.HandlerFunc(p.serveEntry)
@@ -78,9 +79,9 @@
 	return http.HandlerFunc(p.serveOutbound)
 }
 
-// outboundCall builds a call that the own back end makes. A call that carries
-// the context of a request that is being served belongs to its user request.
-// One without gets no retries and the lowest class.
+// outboundCall builds a call that the back end of this node makes. A call with the token
+// of an execution in progress joins its user request. Other calls get no retries and the
+// lowest class.
 func (p *Process) outboundCall(r *http.Request) (*Call, error) {
 	call, err := p.outgoingCall(r, serviceOfHost)
 	if err != nil {
@@ -89,24 +90,24 @@
 	token := r.Header.Get(wire.HeaderContext)
 	wire.RemoveInternal(call.Header)
 	if execution := p.executions.find(token); execution != nil {
-		p.join(call, execution)
+		p.joinExecution(call, execution)
 		return call, nil
 	}
-	p.grant(call, policy.Bulk, 0)
+	p.startUserRequest(call, policy.Bulk, 0)
 	return call, nil
 }
 
-// serveEntry serves a caller outside the mesh or a call of the own back end.
+// serveEntry serves a call from outside the mesh or a call of the back end.
 func (p *Process) serveEntry(w http.ResponseWriter, r *http.Request) {
-	if p.passPipelined(w, r) {
+	if p.servePipelined(w, r) {
 		return
 	}
 	p.serve(w, r, directionOutbound, p.outbound, p.entryCall)
 }
 
-// entryCall builds a call that may come from anywhere. One that belongs to a
-// request that the own back end is serving, by its context or by its name, is
-// joined to it; any other is a user request of its own.
+// entryCall builds a call from outside the mesh or from the back end. A call that belongs
+// to an execution in progress, by its token or its request ID, joins the user request of
+// that execution. Other calls are user requests of their own.
 func (p *Process) entryCall(r *http.Request) (*Call, error) {
 	call, err := p.outgoingCall(r, serviceOfHost)
 	if err != nil {
@@ -114,21 +115,21 @@
 	}
 	execution := p.executions.find(r.Header.Get(wire.HeaderContext))
 	if execution == nil {
-		execution = p.parentOf(call)
+		execution = p.guessParent(call)
 		call.ParentGuessed = execution != nil
 	}
 	wire.RemoveInternal(call.Header)
 	if execution != nil {
-		p.join(call, execution)
+		p.joinExecution(call, execution)
 	} else {
-		p.admitCaller(call)
+		p.startExternal(call)
 	}
 	return call, nil
 }
 
-// parentOf returns the execution that a call belongs to by its name, nil when
-// there is none.
-func (p *Process) parentOf(call *Call) *Execution {
+// guessParent returns the execution to which a call belongs by its request ID, nil when there
+// is none.
+func (p *Process) guessParent(call *Call) *Execution {
 	if p.Dialect.ParentID == nil || call.RequestID == "" {
 		return nil
 	}
@@ -139,8 +140,8 @@
 	return p.executions.findRequest(parent)
 }
 
-// join makes a call part of the user request of an execution.
-func (p *Process) join(call *Call, execution *Execution) {
+// joinExecution makes a call part of the user request of an execution.
+func (p *Process) joinExecution(call *Call, execution *Execution) {
 	call.Execution = execution
 	call.Request = execution.Request
 	call.Priority = execution.Priority
@@ -150,11 +151,11 @@
 	call.Deadline = min(execution.Deadline, p.deadlineOf(call))
 }
 
-// deadlineOf returns when a call ends by its policy and by what its caller says,
-// which it notes.
+// deadlineOf returns the deadline of a call, the earlier one of its policy and its caller.
+// It sets call.Patience when the caller sent the time it has left.
 func (p *Process) deadlineOf(call *Call) clock.Instant {
 	limit := call.Policy.Deadline
-	if left, told := p.Dialect.ReadRemaining(call.Header); told {
+	if left, sent := p.Dialect.ReadRemaining(call.Header); sent {
 		call.Patience = left
 		limit = min(limit, left)
 	}
--- a/kernel/outbound_test.go
+++ b/kernel/outbound_test.go
@@ -18,7 +18,7 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// entryProcess is a process that knows one route and one request in progress.
+// entryProcess returns a ready process with one route and one execution in progress.
 func entryProcess() *Process {
 	p := &Process{Settings: settings.Default(settings.RoleNode), Log: event.Discard(), executions: newExecutionTable("p")}
 	p.Settings.Service = "own"
@@ -53,23 +53,23 @@
 	return r
 }
 
-func TestEntryCallOfACaller(t *testing.T) {
+func TestEntryCallFromOutside(t *testing.T) {
 	is := is.New(t)
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "first", "500"))
 	is.NoErr(err)
 	is.Equal(call.Service, "s")
 	is.True(call.External && call.Routed && !call.Committed())
-	is.True(call.Deadline.Left() <= 500*time.Millisecond) // what the caller waits, below the route's timeout
+	is.True(call.Deadline.Left() <= 500*time.Millisecond) // the caller's time left, shorter than the route's timeout
 	is.Equal(call.Patience, 500*time.Millisecond)
-	is.Equal(call.Header.Get("From"), "own")         // not what the caller said
-	is.Equal(call.Header.Get(wire.HeaderCall), "")   // nor that
+	is.Equal(call.Header.Get("From"), "own")         // the caller's value is replaced
+	is.Equal(call.Header.Get(wire.HeaderCall), "")   // internal headers are removed
 	is.Equal(call.Priority/256, int(policy.Default)) // the route's class
 	call, err = entryProcess().entryCall(entryRequest("/a/x", "first", "60000"))
 	is.NoErr(err)
 	is.True(call.Deadline.Left() <= 2*time.Second) // the route's timeout
 }
 
-func TestEntryCallOfARequestInProgress(t *testing.T) {
+func TestEntryCallJoinsItsParent(t *testing.T) {
 	is := is.New(t)
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "parent/1", "5000"))
 	is.NoErr(err)
@@ -77,11 +77,11 @@
 	is.Equal(call.Request, "user")
 	is.Equal(call.Priority, 900)
 	is.Equal(call.Hops, 2)
-	is.True(call.Deadline.Left() <= time.Second) // it ends with its parent
+	is.True(call.Deadline.Left() <= time.Second) // bounded by the deadline of its parent
 
 	call, err = entryProcess().entryCall(entryRequest("/a/x", "unknown/1", "5000"))
 	is.NoErr(err)
-	is.True(call.External) // the hint leads nowhere: it is treated as its route says
+	is.True(call.External) // an unknown parent is ignored
 }
 
 func TestEntryRefusals(t *testing.T) {
@@ -91,7 +91,7 @@
 	is.Equal(result.From(err).Code, result.NoRoute)
 	p.ready.Store(false)
 	_, err = p.entryCall(entryRequest("/b/x", "first", "500"))
-	is.Equal(result.From(err).Code, result.NotReady) // never 404 while nothing is known
+	is.Equal(result.From(err).Code, result.NotReady) // never 404 before the policy is known
 	is.Equal(result.From(err).Status(), http.StatusServiceUnavailable)
 	is.True(result.From(err).RetryAfter > 0)
 }
--- a/kernel/pause.go
+++ b/kernel/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a time, or until ctx ends.
+// Pause sleeps for the given time, or until ctx ends.
 func Pause(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -15,8 +15,9 @@
 	}
 }
 
-// Wake tells the goroutine that waits on due that there is work. due holds one signal: one
-// that comes while another waits adds nothing, since both are served by the same run.
+// Wake signals the goroutine that receives from due that there is work. due has a buffer
+// of one: a signal sent while another is pending is dropped, because one run of the
+// receiver handles both.
 func Wake(due chan<- struct{}) {
 	select {
 	case due <- struct{}{}:
--- a/kernel/peer.go
+++ b/kernel/peer.go
@@ -12,73 +12,76 @@
 // connectionKey is the key of the connection in the context of a request.
 type connectionKey struct{}
 
-// withConnection makes the connection of a request known to its handler. It is
-// the ConnContext of the servers.
+// withConnection adds the connection to the context of its requests. It is the
+// ConnContext of the servers.
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// peerInterval is the time between two looks at whether a caller is still there.
-const peerInterval = 200 * time.Millisecond
+// peerPollInterval is the time between two checks whether a caller is still connected.
+const peerPollInterval = 200 * time.Millisecond
 
-// foundMore takes note of a byte behind the request that is being served.
-func (c *callerConn) foundMore() {
+// recordLaterByte records that the server has read a byte of a later request,
+// and schedules a check.
+func (c *callerConn) recordLaterByte() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.behind = true
-	c.lookLater()
+	c.laterByte = true
+	c.schedulePoll()
 }
 
-// lookLater has the connection looked at after a while. The mutex is held.
-func (c *callerConn) lookLater() {
+// schedulePoll schedules a check of the connection. The caller holds mutex.
+func (c *callerConn) schedulePoll() {
 	switch {
-	case !c.behind || c.gone == nil:
-	case c.look == nil:
-		c.look = time.AfterFunc(peerInterval, c.lookNow)
+	case !c.laterByte || c.onClose == nil:
+	case c.pollTimer == nil:
+		c.pollTimer = time.AfterFunc(peerPollInterval, c.poll)
 	default:
-		c.look.Reset(peerInterval)
+		c.pollTimer.Reset(peerPollInterval)
 	}
 }
 
-func (c *callerConn) lookNow() {
+// poll calls onClose when the peer has closed the connection, and schedules another check
+// otherwise.
+func (c *callerConn) poll() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.gone == nil {
+	if c.onClose == nil {
 		return
 	}
 	if socket.Ended(c.Conn) {
-		c.gone()
+		c.onClose()
 		return
 	}
-	c.lookLater()
+	c.schedulePoll()
 }
 
-// watch calls gone when the peer closes the connection while a later request
-// lies on it, until unwatch is called.
-func (c *callerConn) watch(gone func()) {
+// watch arranges that onClose is called, until unwatch, when the peer closes the connection
+// while the server has read a byte of a later request.
+func (c *callerConn) watch(onClose func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.gone = gone
+	c.onClose = onClose
 	c.answering = false
-	c.lookLater()
+	c.schedulePoll()
 }
 
 func (c *callerConn) unwatch() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.gone, c.behind = nil, false
-	if c.look != nil {
-		c.look.Stop()
+	c.onClose, c.laterByte = nil, false
+	if c.pollTimer != nil {
+		c.pollTimer.Stop()
 	}
 }
 
-// watchPeer calls gone when the caller of a request closes its connection and
-// Go's server cannot notice it, until stop is called.
-func watchPeer(r *http.Request, gone func()) (stop func()) {
+// watchPeer arranges that onClose is called, until stop, when the caller of a request closes
+// its connection and Go's server cannot detect that.
+func watchPeer(r *http.Request, onClose func()) (stop func()) {
 	conn := callerConnOf(r)
 	if conn == nil {
 		return func() {}
 	}
-	conn.watch(gone)
+	conn.watch(onClose)
 	return conn.unwatch
 }
--- a/kernel/peer_test.go
+++ b/kernel/peer_test.go
@@ -10,31 +10,29 @@
 	"github.com/matryer/is"
 )
 
-// TestACallerThatLeavesIsNoticedBehindAPipelinedRequest: the bytes of a second
-// request keep Go's server from seeing that the caller has closed, when they
-// come after the first request has begun. Both ways of noticing together must
-// see it in either case.
-func TestACallerThatLeavesIsNoticedBehindAPipelinedRequest(t *testing.T) {
+// TestCallerCloseIsDetected guards against requests that keep running after their caller
+// has closed the connection, which the bytes of a second request hide from Go's server.
+func TestCallerCloseIsDetected(t *testing.T) {
 	const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for name, parts := range map[string][2]string{
-		"in one piece":                 {request + request, ""},
-		"while the first is served":    {request, request},
-		"a byte of it":                 {request, request[:1]},
-		"nothing behind the first one": {request, ""},
+		"in one piece":              {request + request, ""},
+		"while the first is served": {request, request},
+		"one byte of the second":    {request, request[:1]},
+		"no second request":         {request, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			begun, noticed := make(chan struct{}), make(chan struct{})
+			started, detected := make(chan struct{}), make(chan struct{})
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-				gone := make(chan struct{})
-				stop := watchPeer(r, func() { close(gone) })
+				closed := make(chan struct{})
+				stop := watchPeer(r, func() { close(closed) })
 				defer stop()
-				close(begun)
+				close(started)
 				select {
-				case <-gone:
+				case <-closed:
 				case <-r.Context().Done():
 				}
-				close(noticed)
+				close(detected)
 			}))
 			server.Config.ConnContext = withConnection
 			server.Listener = callerListener{Listener: server.Listener}
@@ -44,16 +42,16 @@
 			is.NoErr(err)
 			_, err = io.WriteString(conn, parts[0])
 			is.NoErr(err)
-			<-begun
+			<-started
 			_, err = io.WriteString(conn, parts[1])
 			is.NoErr(err)
 			select {
-			case <-noticed:
-				t.Fatal("the caller is still there")
+			case <-detected:
+				t.Fatal("close detected before the caller closed the connection")
 			default:
 			}
 			is.NoErr(conn.Close())
-			<-noticed
+			<-detected
 		})
 	}
 }
--- a/kernel/pipelined.go
+++ b/kernel/pipelined.go
@@ -9,34 +9,32 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// pipelined is a request that its caller has sent behind another one on the same
-// connection, and that is served beside it. Its answer is kept until the server comes to
-// the request and takes it. It is the http.ResponseWriter of the request.
-//
-// Without it, Go's server begins with a request when the one before it has been
-// answered, so that the last one of a row waits for all of them.
+// pipelined is a pipelined request that is served concurrently with the requests before it
+// on the connection. It is the http.ResponseWriter of the request and buffers the answer
+// until the server reaches the request. Go's server alone starts a request only after it
+// has answered the previous one.
 type pipelined struct {
 	request *http.Request
 	cancel  context.CancelFunc
 
-	mutex   sync.Mutex
-	changed sync.Cond
-	header  http.Header // of the handler
-	status  int         // 0 until the head of the answer is there
-	head    http.Header // as it was then
-	body    []byte      // that has not been taken yet
-	ended   bool
-	broken  bool // the answer is not whole
+	mutex     sync.Mutex
+	changed   sync.Cond
+	header    http.Header // returned by Header
+	status    int         // 0 until the handler has written the head
+	head      http.Header // copy of header at that moment
+	body      []byte      // written by the handler and not yet taken
+	ended     bool        // the handler has returned
+	truncated bool        // the answer is incomplete
 }
 
-// maximumBuffered bounds the bytes of an answer that wait to be taken: the memory that a
-// pipelined request costs while its caller reads the answers before it.
+// maximumBuffered bounds the buffered part of an answer, in bytes, and thereby the memory
+// of a pipelined request while its caller reads the previous answers.
 const maximumBuffered = 64 << 10
 
 func newPipelined(request *http.Request, cancel context.CancelFunc) *pipelined {
 	a := &pipelined{request: request, cancel: cancel, header: http.Header{}}
 	a.changed.L = &a.mutex
-	// A handler that waits for room goes on when the request is given up.
+	// Wakes a handler that waits in Write when the request is cancelled.
 	context.AfterFunc(request.Context(), func() {
 		a.mutex.Lock()
 		defer a.mutex.Unlock()
@@ -52,25 +50,26 @@
 func (a *pipelined) WriteHeader(status int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.begin(status)
+	a.setHead(status)
 }
 
-// begin fixes the head of the answer. The mutex is held.
-func (a *pipelined) begin(status int) {
+// setHead sets the head of the answer unless it is set or informational (1xx). The caller
+// holds mutex.
+func (a *pipelined) setHead(status int) {
 	if a.status != 0 || status < http.StatusOK {
 		return
 	}
 	a.status = status
 	a.head = a.header.Clone()
-	delete(a.head, "Connection") // whether it goes on is decided when the answer goes out
+	delete(a.head, "Connection") // decided when the answer is sent
 	a.changed.Broadcast()
 }
 
-// Write implements http.ResponseWriter. It waits while too much is to be taken.
+// Write implements http.ResponseWriter. It blocks while the buffer is full.
 func (a *pipelined) Write(data []byte) (int, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.begin(http.StatusOK)
+	a.setHead(http.StatusOK)
 	for len(a.body) >= maximumBuffered && a.request.Context().Err() == nil {
 		a.changed.Wait()
 	}
@@ -82,44 +81,46 @@
 	return len(data), nil
 }
 
-// end ends the answer.
-func (a *pipelined) end(broken bool) {
+// finish marks the answer as ended, and as incomplete when truncated is set.
+func (a *pipelined) finish(truncated bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if !broken {
-		a.begin(http.StatusOK)
+	if !truncated {
+		a.setHead(http.StatusOK)
 	}
-	a.ended, a.broken = true, broken
+	a.ended, a.truncated = true, truncated
 	a.changed.Broadcast()
 }
 
-// run lets a handler answer the request.
+// run answers the request with handler. A handler that panics with http.ErrAbortHandler
+// leaves the answer incomplete.
 func (a *pipelined) run(handler http.Handler) {
-	broken := true
+	truncated := true
 	defer func() {
 		if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
 			panic(cause)
 		}
-		a.end(broken)
+		a.finish(truncated)
 	}()
 	handler.ServeHTTP(a, a.request)
-	broken = false
+	truncated = false
 }
 
-// is reports whether a request that the server has come to is this one.
-func (a *pipelined) is(r *http.Request, idHeader string) bool {
+// matches reports whether r, which the server has read from the connection, is this
+// request.
+func (a *pipelined) matches(r *http.Request, idHeader string) bool {
 	return a.request.Method == r.Method && a.request.Host == r.Host && a.request.RequestURI == r.RequestURI &&
 		(idHeader == "" || a.request.Header.Get(idHeader) == r.Header.Get(idHeader))
 }
 
-// passOn passes the answer on. One that fits into what is kept is passed on when it
-// is whole: if it breaks off, the caller gets a failure in its place, and what waits
-// behind it on the connection is not lost. A longer one is passed on as it comes and
-// breaks the connection if it breaks off.
-func (a *pipelined) passOn(w http.ResponseWriter) {
+// writeTo writes the answer to w. An answer that fits into the buffer is written when it is
+// complete. If it is truncated, an error is sent instead and the connection stays usable
+// for the requests after it. A longer answer is streamed, and the connection is closed if
+// it is truncated.
+func (a *pipelined) writeTo(w http.ResponseWriter) {
 	defer a.cancel()
-	if a.awaitWhole() {
-		brokenOff().WriteHTTP(w)
+	if a.awaitComplete() {
+		truncatedAnswer().WriteHTTP(w)
 		return
 	}
 	header := w.Header()
@@ -134,34 +135,34 @@
 			panic(http.ErrAbortHandler)
 		}
 	}
-	a.passTrailers(header)
+	a.copyTrailers(header)
 }
 
-// brokenOff is the failure in the place of an answer that broke off.
-func brokenOff() *result.Error {
+// truncatedAnswer returns the error that is sent instead of a truncated answer.
+func truncatedAnswer() *result.Error {
 	return result.New(result.ConnectionLost, "the answer broke off")
 }
 
-// awaitWhole waits until the answer is whole, or more than is kept. It reports
-// whether it broke off before that.
-func (a *pipelined) awaitWhole() (broken bool) {
+// awaitComplete waits until the answer has ended or the buffer is full. It reports whether
+// the answer was truncated by then.
+func (a *pipelined) awaitComplete() (truncated bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for !a.ended && len(a.body) < maximumBuffered {
 		a.changed.Wait()
 	}
-	return a.broken
+	return a.truncated
 }
 
-// take waits for a part of the body and removes it. It reports whether it was the
-// last one.
+// take waits for data of the body and removes it from the buffer. last is true when the
+// answer has ended. It panics with http.ErrAbortHandler when the answer is truncated.
 func (a *pipelined) take() (data []byte, last bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for len(a.body) == 0 && !a.ended {
 		a.changed.Wait()
 	}
-	if a.broken {
+	if a.truncated {
 		panic(http.ErrAbortHandler)
 	}
 	data, a.body = a.body, nil
@@ -169,8 +170,8 @@
 	return data, a.ended
 }
 
-// passTrailers sets the trailers that the handler has set after the body.
-func (a *pipelined) passTrailers(header http.Header) {
+// copyTrailers copies the trailers that the handler set after the body.
+func (a *pipelined) copyTrailers(header http.Header) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for name, values := range a.header {
--- a/kernel/pipelined_test.go
+++ b/kernel/pipelined_test.go
@@ -16,11 +16,11 @@
 	"github.com/matryer/is"
 )
 
-// pipelineServer is a server whose connections serve pipelined requests before their turn.
+// pipelineServer is a server that serves pipelined requests concurrently.
 type pipelineServer struct {
 	*httptest.Server
 	mutex   sync.Mutex
-	started []string // paths, in the order in which they were begun
+	started []string // paths of requests in the order of their start
 }
 
 func startPipelineServer(t *testing.T, handler http.HandlerFunc) *pipelineServer {
@@ -33,8 +33,8 @@
 		handler(w, r)
 	}
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if begun := callerConnOf(r).takePipelined(r, "X-Id"); begun != nil {
-			begun.passOn(w)
+		if started := callerConnOf(r).takePipelined(r, "X-Id"); started != nil {
+			started.writeTo(w)
 			return
 		}
 		recorded(w, r)
@@ -42,9 +42,9 @@
 	s.Config.ConnContext = withConnection
 	s.Listener = callerListener{Listener: s.Listener, start: func(ctx context.Context, r *http.Request) *pipelined {
 		ctx, cancel := context.WithCancel(ctx)
-		begun := newPipelined(r.WithContext(ctx), cancel)
-		go begun.run(http.HandlerFunc(recorded))
-		return begun
+		started := newPipelined(r.WithContext(ctx), cancel)
+		go started.run(http.HandlerFunc(recorded))
+		return started
 	}}
 	s.Start()
 	t.Cleanup(s.Close)
@@ -57,7 +57,7 @@
 	return append([]string{}, s.started...)
 }
 
-// pipeliner is a caller that sends several requests before it reads an answer.
+// pipeliner is a client connection that sends several requests before it reads an answer.
 type pipeliner struct {
 	net.Conn
 	reader *bufio.Reader
@@ -86,13 +86,13 @@
 	return fmt.Sprintf("%d %s", response.StatusCode, body), err
 }
 
-// TestARowOfRequestsIsServedTogether: none ends before all have begun, and the
-// answers come in the order of the requests.
-func TestARowOfRequestsIsServedTogether(t *testing.T) {
+// TestPipelinedRequestsRunConcurrently guards against pipelined requests that wait for
+// each other, and against answers in the wrong order.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	for name, pieces := range map[string][]string{
-		"in one piece":       {getText("/1") + getText("/2") + getText("/3")},
-		"one after another":  {getText("/1"), getText("/2"), getText("/3")},
-		"cut in their midst": {getText("/1")[:9], getText("/1")[9:] + getText("/2")[:20], getText("/2")[20:] + getText("/3")},
+		"in one piece":        {getText("/1") + getText("/2") + getText("/3")},
+		"one after another":   {getText("/1"), getText("/2"), getText("/3")},
+		"cut within requests": {getText("/1")[:9], getText("/1")[9:] + getText("/2")[:20], getText("/2")[20:] + getText("/3")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -108,7 +108,7 @@
 			for _, piece := range pieces {
 				_, err := io.WriteString(caller, piece)
 				is.NoErr(err)
-				time.Sleep(10 * time.Millisecond) // so that the pieces arrive apart; the verdict does not depend on it
+				time.Sleep(10 * time.Millisecond) // pieces should arrive separately; the result does not depend on it
 			}
 			for _, path := range []string{"/1", "/2", "/3"} {
 				got, err := caller.answer()
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestTheFirstOfARowTakesNoneOfTheOthers: those behind it may have been begun before
-// the server has called the handler for it.
-func TestTheFirstOfARowTakesNoneOfTheOthers(t *testing.T) {
+// TestFirstRequestGetsItsOwnAnswer guards against the first request taking the answer of a
+// later one, when later ones start before the server calls the handler of the first.
+func TestFirstRequestGetsItsOwnAnswer(t *testing.T) {
 	is := is.New(t)
 	s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -130,7 +130,7 @@
 	served := s.Config.Handler
 	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn := callerConnOf(r)
-		for r.URL.Path == "/1" && conn.begun() < 2 {
+		for r.URL.Path == "/1" && conn.startedRequests() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		served.ServeHTTP(w, r)
@@ -146,16 +146,16 @@
 	is.Equal(len(s.paths()), 3) // each has run once
 }
 
-// begun returns the number of requests that were begun and not taken.
-func (c *callerConn) begun() int {
+// startedRequests returns the number of started requests that have not been taken.
+func (c *callerConn) startedRequests() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.queue)
 }
 
-// TestARowThatIsLongerThanTheQueue, with answers that are longer than what is kept
-// of them, is answered whole and in order.
-func TestARowThatIsLongerThanTheQueue(t *testing.T) {
+// TestMoreRequestsThanTheQueueHolds guards against lost or truncated answers when both the
+// queue and the buffers of the answers are full.
+func TestMoreRequestsThanTheQueueHolds(t *testing.T) {
 	is := is.New(t)
 	long := strings.Repeat("0123456789", maximumBuffered/5)
 	s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -177,8 +177,9 @@
 	is.Equal(len(s.paths()), count)
 }
 
-// TestWhatWaitsForItsTurn: a request that may change something, and all behind it.
-func TestWhatWaitsForItsTurn(t *testing.T) {
+// TestUnsafeRequestWaitsForItsTurn guards against starting a POST request, or one after
+// it, before the previous requests are answered.
+func TestUnsafeRequestWaitsForItsTurn(t *testing.T) {
 	is := is.New(t)
 	first := make(chan struct{})
 	s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -204,31 +205,32 @@
 	}
 	started := s.paths()
 	is.Equal(len(started), 4)
-	is.Equal(started[2:], []string{"/3", "/4"}) // after the others, and in order
+	is.Equal(started[2:], []string{"/3", "/4"}) // after the first two, in order
 }
 
-// TestACallerThatLeavesEndsTheWholeRow.
-func TestACallerThatLeavesEndsTheWholeRow(t *testing.T) {
+// TestCallerCloseCancelsAllRequests guards against requests that keep running after their
+// caller has closed the connection.
+func TestCallerCloseCancelsAllRequests(t *testing.T) {
 	is := is.New(t)
-	var begun, ended sync.WaitGroup
-	begun.Add(2)
+	var started, ended sync.WaitGroup
+	started.Add(2)
 	ended.Add(2)
 	s := startPipelineServer(t, func(_ http.ResponseWriter, r *http.Request) {
-		begun.Done()
+		started.Done()
 		<-r.Context().Done()
 		ended.Done()
 	})
 	caller := dialPipeliner(t, s)
 	_, err := io.WriteString(caller, getText("/1")+getText("/2"))
 	is.NoErr(err)
-	begun.Wait()
+	started.Wait()
 	is.NoErr(caller.Close())
 	ended.Wait()
 }
 
-// TestAnAnswerThatBreaksOff becomes a failure while nothing of it has gone out, and
-// those behind it are answered. A longer one breaks the connection.
-func TestAnAnswerThatBreaksOff(t *testing.T) {
+// TestTruncatedAnswer guards against a truncated answer that looks complete, and against
+// losing the answers after it. Only an answer longer than the buffer closes the connection.
+func TestTruncatedAnswer(t *testing.T) {
 	for _, long := range []bool{false, true} {
 		is := is.New(t)
 		s := startPipelineServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -238,7 +240,7 @@
 			}
 			if long {
 				_, _ = w.Write(make([]byte, maximumBuffered))
-				_, _ = io.WriteString(w, "more") // waits until the rest has been taken
+				_, _ = io.WriteString(w, "more") // blocks until the buffer is taken
 			}
 			panic(http.ErrAbortHandler)
 		})
--- a/kernel/pipelining.go
+++ b/kernel/pipelining.go
@@ -7,16 +7,17 @@
 	"net/http"
 )
 
-// startPipelined begins with the requests that are kept whole, as long as each of them and
-// the one that the server has read only.
+// startPipelined starts the complete requests among the pending bytes. It stops at the first
+// request that is not simple, and starts none while the server's current request is not
+// simple.
 func (c *callerConn) startPipelined() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for c.simple && !c.answering && len(c.queue) < maximumPipelined && c.parsed < len(c.kept) {
+	for c.simple && !c.answering && len(c.queue) < maximumPipelined && c.startedBytes < len(c.pending) {
 		var scanner boundaryScanner
-		raw := c.kept[c.parsed:]
+		raw := c.pending[c.startedBytes:]
 		next := scanner.next(raw)
-		if !next.whole || !next.simple {
+		if !next.complete || !next.simple {
 			return
 		}
 		request := parseRequest(raw[:next.length])
@@ -29,12 +30,12 @@
 			return
 		}
 		c.queue = append(c.queue, started)
-		c.parsed += next.length
+		c.startedBytes += next.length
 	}
 }
 
-// parseRequest reads a request without a body, nil when it is malformed or closes
-// the connection.
+// parseRequest parses a request without a body. It returns nil when the request is
+// malformed or asks for the connection to be closed.
 func parseRequest(raw []byte) *http.Request {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 	if err != nil || request.Close || request.Host == "" || !request.ProtoAtLeast(1, 1) {
@@ -44,25 +45,25 @@
 	return request
 }
 
-// takePipelined returns the service of a request that was begun before its turn, nil
-// when there is none.
+// takePipelined removes r from the queue of started requests and returns its entry, nil
+// when r was not started early. If the first entry does not match r, all are cancelled.
 func (c *callerConn) takePipelined(r *http.Request, idHeader string) *pipelined {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.wasBegun || len(c.queue) == 0 {
-		return nil // those of the queue come behind it
+	if !c.startedEarly || len(c.queue) == 0 {
+		return nil // the requests in the queue come after r
 	}
-	c.wasBegun = false
+	c.startedEarly = false
 	first := c.queue[0]
 	c.queue = c.queue[1:]
-	if !first.is(r, idHeader) {
+	if !first.matches(r, idHeader) {
 		c.cancelPipelined(first)
 		return nil
 	}
 	return first
 }
 
-// cancelPipelined gives up all that was begun. The mutex is held.
+// cancelPipelined cancels first and all requests in the queue. The caller holds mutex.
 func (c *callerConn) cancelPipelined(first *pipelined) {
 	first.cancel()
 	for _, other := range c.queue {
@@ -71,33 +72,32 @@
 	c.queue = nil
 }
 
-// nextRequest takes note that the server has come to the next request.
+// nextRequest records that the server has reached the next request.
 func (c *callerConn) nextRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.answering = false
 }
 
-// beginAnswer takes note that the answer to the request that the server has begins to
-// go out, from when on nothing is begun behind it. It reports whether something was,
-// which would be lost with the connection.
-func (c *callerConn) beginAnswer() (behind bool) {
+// beginAnswer records that the answer to the server's current request is being written;
+// from then on no later request is started. It reports whether later requests have been
+// started, whose answers would be lost with the connection.
+func (c *callerConn) beginAnswer() (laterStarted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.answering = true
 	return len(c.queue) > 0
 }
 
-// beginAnswer takes note that the answer to a request begins to go out, and reports
-// whether requests behind it on its connection have been begun.
-func beginAnswer(r *http.Request) (behind bool) {
+// beginAnswer records on the connection of r that the answer is being written, and reports
+// whether later requests on that connection have been started.
+func beginAnswer(r *http.Request) (laterStarted bool) {
 	conn := callerConnOf(r)
 	return conn != nil && conn.beginAnswer()
 }
 
-// mayStartEarly reports whether a request may be served before its turn: when its
-// route says that it may be repeated, so that a caller who never gets the answer can
-// send it again.
+// mayStartEarly reports whether a request may be served before its turn. Its route must be
+// repeatable, so that a caller that does not receive the answer can retry.
 func (p *Process) mayStartEarly(r *http.Request) bool {
 	if !p.Ready() || p.Leaving() {
 		return false
@@ -106,7 +106,8 @@
 	return route != nil && route.Repeatable
 }
 
-// startEarly begins to serve a request before its turn, nil when it must wait.
+// startEarly starts to serve a request before its turn. It returns nil when the request
+// must wait. It is the starter of entries.
 func (p *Process) startEarly(ctx context.Context, r *http.Request) *pipelined {
 	if !p.mayStartEarly(r) {
 		return nil
@@ -116,29 +117,29 @@
 	p.Counters.Pipelined.Add(1)
 	p.Go(func() {
 		started.run(http.HandlerFunc(p.serveEntry))
-		<-ctx.Done() // a stopping process waits until the answer has been passed on
+		<-ctx.Done() // a stopping process waits until the answer has been written
 	})
 	return started
 }
 
-// passPipelined passes on the answer to a request that was begun before its turn. It
-// reports whether there is one.
-func (p *Process) passPipelined(w http.ResponseWriter, r *http.Request) bool {
+// servePipelined writes the answer to a request that was started before its turn. It
+// returns false when the request was not started.
+func (p *Process) servePipelined(w http.ResponseWriter, r *http.Request) bool {
 	conn := callerConnOf(r)
 	if conn == nil {
 		return false
 	}
-	begun := conn.takePipelined(r, p.Dialect.RequestID)
-	if begun == nil {
+	started := conn.takePipelined(r, p.Dialect.RequestID)
+	if started == nil {
 		return false
 	}
 	conn.nextRequest()
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
-	begun.awaitWhole()
-	if behind := conn.beginAnswer(); !behind && p.Leaving() {
+	started.awaitComplete()
+	if laterStarted := conn.beginAnswer(); !laterStarted && p.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
-	begun.passOn(w)
+	started.writeTo(w)
 	return true
 }
--- a/kernel/plugin.go
+++ b/kernel/plugin.go
@@ -7,38 +7,38 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Handler serves a call. The error is a *result.Error. The caller closes the
+// Handler serves a call. The error is a *result.Error. The caller of Handle closes the
 // body of the answer.
 type Handler interface {
 	Handle(call *Call) (*Answer, error)
 }
 
-// HandlerFunc is a function that is a Handler.
+// HandlerFunc is an adapter that makes a function a Handler.
 type HandlerFunc func(call *Call) (*Answer, error)
 
 // Handle implements Handler.
 func (f HandlerFunc) Handle(call *Call) (*Answer, error) { return f(call) }
 
-// Middleware puts a plug-in in front of the next Handler.
+// Middleware wraps the next Handler of a chain.
 type Middleware func(next Handler) Handler
 
-// Setup prepares a plug-in for one process: it may add middleware, control
-// handlers, timers and hooks.
+// Setup sets up a plug-in for a process. It may add middleware, control handlers, periodic
+// tasks and hooks.
 type Setup func(process *Process) error
 
-// registration is a plug-in that has registered itself.
+// registration is a registered plug-in.
 type registration struct {
 	name  string
 	order int
 	setup Setup
 }
 
-// registry holds the registered plug-ins. It is written by init functions only.
+// registry holds the registered plug-ins by name. Only init functions write to it.
 var registry = map[string]registration{}
 
-// Register adds a plug-in. It is called from init functions of plug-in
-// packages. Plug-ins are set up in ascending order of stage, then name: a
-// plug-in may use what one of an earlier stage provides.
+// Register registers a plug-in. The init functions of plug-in packages call it. Plug-ins
+// are set up in ascending order of stage, then name, so that a plug-in may use the
+// services of earlier stages. It panics when the name is already registered.
 func Register(name string, stage Stage, setup Setup) {
 	if _, exists := registry[name]; exists {
 		panic(fmt.Sprintf("kernel: plug-in %q is registered twice", name))
@@ -46,13 +46,13 @@
 	registry[name] = registration{name: name, order: int(stage), setup: setup}
 }
 
-// Stage orders the set-up of plug-ins.
+// Stage is the set-up stage of a plug-in.
 type Stage int
 
 // Stages.
 const (
-	StageServices Stage = iota // provides services to other plug-ins
-	StageTraffic               // handles calls
+	StageServices Stage = iota // Plug-ins that provide services to others.
+	StageTraffic               // Plug-ins that handle calls.
 )
 
 // setUpPlugins sets up all registered plug-ins.
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// buildChain joins the middleware of the named plug-ins. Names without
-// middleware are passed over; the last one must answer.
+// buildChain chains the middleware of the named plug-ins in the given order and skips names
+// without middleware. The last middleware must answer the call.
 func buildChain(names []string, middleware map[string]Middleware) Handler {
 	var next Handler = HandlerFunc(func(*Call) (*Answer, error) {
 		return nil, result.New(result.Internal, "no plug-in answered the call")
--- a/kernel/process.go
+++ b/kernel/process.go
@@ -18,38 +18,38 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Process is one loomcleat process: a node or a gateway.
+// Process is a loomcleat process, a node or a gateway.
 type Process struct {
 	Settings settings.Settings
-	ID       string    // new at each start
-	Started  time.Time // by the wall clock
+	ID       string    // unique for each start
+	Started  time.Time // wall clock time
 	Log      *event.Logger
 	Loop     *Loop
-	Store    store.Store       // nil: none
-	Machines store.MachineList // nil: none
-	Registry store.Registry    // nil: none
+	Store    store.Store       // nil when there is none
+	Machines store.MachineList // nil when there is none
+	Registry store.Registry    // nil when there is none
 	Metrics  *prometheus.Registry
 	Control  *ControlClient
-	Dial     DialFunc // nil: a socket.Dialer
+	Dial     DialFunc // nil for a socket.Dialer
 	Dialect  wire.Dialect
 	Counters Counters
 
 	// Policy is the policy tree in force.
 	Policy atomic.Pointer[policy.Index]
-	// Members is what is known of the mesh, in order of id.
+	// Members are the known members of the mesh in the order of their IDs.
 	Members atomic.Pointer[[]membership.Member]
-	// MachineState is what the machine list last said, nil before that and in
-	// processes that do not poll it.
+	// MachineState is the last reading of the machine list. It is nil before the first
+	// reading and in processes that do not poll the list.
 	MachineState atomic.Pointer[MachineState]
-	// BackEndLoad is what the back end beside this process last told of its load, nil
-	// when it has told nothing.
+	// BackEndLoad is the last load reported by the back end of this node, nil when it
+	// has reported none.
 	BackEndLoad atomic.Pointer[ReportedLoad]
-	// Documents and Mesh are set during set-up by plug-ins.
+	// Documents and Mesh are set by plug-ins during set-up.
 	Documents Documents
 	Mesh      Mesh
-	// Quarantine is set during set-up by a plug-in, nil without it.
+	// Quarantine is set by a plug-in during set-up. It is nil without that plug-in.
 	Quarantine Quarantine
-	// BackEnd is set during set-up by a plug-in, nil when the back end sends no
+	// BackEnd is set by a plug-in during set-up. It is nil when the back end sends no
 	// heartbeats.
 	BackEnd BackEnd
 
@@ -74,8 +74,8 @@
 	stopped   chan struct{}
 }
 
-// New binds the listeners of a process and sets up its plug-ins. Nothing is
-// served before Start.
+// New binds the listeners of a process and sets up its plug-ins. The process serves
+// requests after Start.
 func New(options Options) (*Process, error) {
 	if err := clock.Check(); err != nil {
 		return nil, err
@@ -122,8 +122,8 @@
 	return p
 }
 
-// newProcessID returns an id that is new at each start, because a process that
-// was restarted has forgotten its claims and must not pass for the one before.
+// newProcessID returns an ID that is unique for each start: a restarted process has lost
+// its claims and must not be taken for the previous one.
 func newProcessID(s settings.Settings) string {
 	name := s.ID
 	if name == "" {
@@ -132,25 +132,26 @@
 	return name + "-" + uuid.NewString()[:13]
 }
 
-// IsNode reports whether this process stands beside a back end.
+// IsNode reports whether this process is a node, which runs beside a back end.
 func (p *Process) IsNode() bool { return p.Settings.Role == settings.RoleNode }
 
-// Context ends when the process has ended.
+// Context returns a context that is cancelled when the process stops.
 func (p *Process) Context() context.Context { return p.context }
 
-// Reload puts changed seeds in force.
+// Reload replaces the seed addresses.
 func (p *Process) Reload(seeds []string) {
 	p.Loop.Post(func(time.Time) { p.Mesh.SetSeeds(seeds) })
 }
 
-// Ready reports whether the process takes requests.
+// Ready reports whether the readiness conditions have been met. It stays true while the
+// process stops.
 func (p *Process) Ready() bool { return p.ready.Load() }
 
-// Leaving reports whether the process was told to stop.
+// Leaving reports whether Stop was called.
 func (p *Process) Leaving() bool { return p.leaving.Load() }
 
-// Announced reports whether a process that was told to stop has told its peers that it
-// leaves. Until then they go on sending calls for its back end.
+// Announced reports whether a stopping process has announced to its peers that it leaves.
+// Until then they keep sending calls to its back end.
 func (p *Process) Announced() bool { return p.announced.Load() }
 
 // Draining reports whether the process refuses new requests.
--- a/kernel/servers.go
+++ b/kernel/servers.go
@@ -12,16 +12,14 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// servers are the HTTP servers of a process, each a kratos HTTP server. A
-// filter answers each request before the router of kratos sees it: the router
-// cleans paths and would change what callers sent.
+// servers are the kratos HTTP servers of a process. A filter answers each request before
+// the router of kratos, which would clean the path that the caller sent.
 type servers struct {
 	list          []*kratoshttp.Server
 	controlRoutes *http.ServeMux
 }
 
-// Server timeouts. Requests and answers may stream for long, so that only the
-// header and idle connections are bounded.
+// Server timeouts. Bodies have none, since requests and answers may be streams.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
@@ -38,7 +36,7 @@
 		}
 	}
 	if p.listeners.outbound != nil {
-		s.add(p.callers(p.listeners.outbound), p.outboundHandler())
+		s.add(p.outboundListener(p.listeners.outbound), p.outboundHandler())
 	}
 	if p.listeners.admin != nil {
 		s.add(p.listeners.admin, p.adminRoutes())
@@ -50,9 +48,9 @@
 	return s
 }
 
-// callers returns the listener for what the back end and, at an entry, callers
-// outside the mesh send.
-func (p *Process) callers(listener net.Listener) net.Listener {
+// outboundListener wraps the listener for outbound calls. At an entry its connections serve
+// pipelined requests concurrently.
+func (p *Process) outboundListener(listener net.Listener) net.Listener {
 	if !p.Settings.Entry {
 		return callerListener{Listener: listener}
 	}
@@ -61,8 +59,8 @@
 
 func (s *servers) add(listener net.Listener, handler http.Handler) {
 	answerAll := func(http.Handler) http.Handler { return handler }
-	// Without an endpoint, kratos looks for one among the network interfaces,
-	// which cannot be listed everywhere.
+	// Without an endpoint, kratos lists the network interfaces, which fails in some
+	// environments.
 	endpoint := &url.URL{Scheme: "http", Host: listener.Addr().String()}
 	server := kratoshttp.NewServer(kratoshttp.Listener(listener), kratoshttp.Endpoint(endpoint),
 		kratoshttp.Filter(answerAll), kratoshttp.Timeout(0))
@@ -82,17 +80,17 @@
 	}
 }
 
-// stop closes listeners and idle connections, then the rest.
+// stop shuts the servers down gracefully, then closes the remaining connections.
 func (s *servers) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, server := range s.list {
-		_ = server.Stop(ctx) // what does not end in time is closed below
+		_ = server.Stop(ctx) // remaining connections are closed below
 	}
 	s.kill()
 }
 
-// kill closes everything.
+// kill closes all listeners and connections.
 func (s *servers) kill() {
 	for _, server := range s.list {
 		_ = server.Close()
--- a/kernel/signature.go
+++ b/kernel/signature.go
@@ -2,8 +2,8 @@
 
 import "github.com/loomcleat/loomcleat/quarantine"
 
-// Signature names what the call asks for, the same at all processes and for all tries of
-// its caller. It costs some hundred nanoseconds.
+// Signature returns the signature of the request, which is the same in all processes and
+// for all attempts of its caller.
 func (c *Call) Signature() quarantine.Signature {
 	request := quarantine.Request{Method: c.Method, Host: c.Host, Tenant: c.Tenant, Body: c.Fingerprint}
 	if c.URL != nil {
--- a/kernel/split.go
+++ b/kernel/split.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// splitCounters give each request of a route a position in the line of its
-// weights. The positions of a route are spread evenly from the first request
-// on, and each process begins elsewhere, so that the shares come true over few
-// requests and over many processes.
+// splitCounters give each request of a route a position in [0, 1), by which one of the
+// weighted services of the route is chosen. The positions are a low-discrepancy sequence
+// with a random start in each process. The shares of the services are therefore close to
+// their weights after a few requests, also summed over many processes.
 type splitCounters struct {
 	byRoute sync.Map // route name to *splitCounter
 }
@@ -20,11 +20,11 @@
 	count atomic.Uint64
 }
 
-// goldenRatio has the fractional part whose multiples are spread most evenly.
+// goldenRatio is the step of the sequence. The fractional parts of its multiples are spread
+// most evenly.
 const goldenRatio = math.Phi
 
-// next returns the position of the next request of the route, from 0 up to but
-// not including 1.
+// next returns the position of the next request of the route.
 func (s *splitCounters) next(route string) float64 {
 	found, exists := s.byRoute.Load(route)
 	if !exists {
--- a/kernel/split_test.go
+++ b/kernel/split_test.go
@@ -7,7 +7,9 @@
 	"github.com/matryer/is"
 )
 
-func TestSplitPositionsAreSpreadFromTheFirstRequestOn(t *testing.T) {
+// TestSplitFollowsWeights guards against shares that are off their weights for the first
+// requests of a route.
+func TestSplitFollowsWeights(t *testing.T) {
 	for range 20 { // the start is random
 		is := is.New(t)
 		var counters splitCounters
@@ -18,7 +20,7 @@
 			if position < 0.9 {
 				below++
 			}
-			limit := 2.5 // whole requests off the weight, at any time
+			limit := 2.5 // maximum deviation in requests
 			if i >= 100 {
 				limit = 5
 			}
--- a/kernel/state.go
+++ b/kernel/state.go
@@ -9,20 +9,21 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// ReportedLoad is the load that a back end reported, and when.
+// ReportedLoad is a load reported by a back end and the time of the report.
 type ReportedLoad struct {
 	wire.BackEndLoad
 	At time.Time
 }
 
-// Occupancy is how busy the back end beside this process is.
+// Occupancy is the occupancy of the back end of this node.
 type Occupancy struct {
-	// Level is the lowest priority that is admitted now.
+	// Level is the lowest priority that is currently admitted.
 	Level int
-	// Load is the number of requests that the back end works on or that wait, as a
-	// share of those that it works on at a time.
+	// Load is the number of requests in flight or queued, divided by the concurrency
+	// limit of the back end.
 	Load float64
-	// Faults is the share of requests that the back end failed by itself lately.
+	// Faults is the share of recent requests that failed by a fault of the back end
+	// itself.
 	Faults float64
 }
 
@@ -32,7 +33,7 @@
 	Machines []store.Machine
 }
 
-// LiveIDs returns the ids of the members that are not dead or leaving.
+// LiveIDs returns the IDs of the members that are neither dead nor leaving.
 func LiveIDs(members []membership.Member) []string {
 	ids := make([]string, 0, len(members))
 	for _, member := range members {
@@ -43,7 +44,7 @@
 	return ids
 }
 
-// PublishMembers makes a new state of the mesh known. It is called on the
+// PublishMembers replaces Members and runs the OnMembers functions. It is called on the
 // control loop.
 func (p *Process) PublishMembers(now time.Time, members []membership.Member) {
 	p.Members.Store(&members)
@@ -52,7 +53,7 @@
 	}
 }
 
-// Status returns what the process knows of itself and the mesh.
+// Status returns the status of the process and its view of the mesh.
 func (p *Process) Status() wire.Status {
 	status := wire.Status{
 		ID:        p.ID,
--- a/kernel/suspension.go
+++ b/kernel/suspension.go
@@ -8,16 +8,16 @@
 	"github.com/loomcleat/loomcleat/event"
 )
 
-// Bounds of the watch for suspensions, which tells of them and decides nothing: whatever
-// must hold reads the clock itself.
+// Constants of the detection of suspensions. It only logs and counts them: code that must
+// be correct across a suspension uses the clock package.
 const (
 	suspensionInterval = 500 * time.Millisecond
-	// leastSuspension is above what two readings taken one after the other differ by when
-	// the process was preempted between them.
-	leastSuspension = 100 * time.Millisecond
+	// minimumSuspension is longer than a usual preemption between the readings of the two
+	// clocks, which looks like a suspension.
+	minimumSuspension = 100 * time.Millisecond
 )
 
-// watchSuspensions logs and counts the time in which the machine was suspended.
+// watchSuspensions logs and counts suspensions of the machine until ctx ends.
 func (p *Process) watchSuspensions(ctx context.Context) {
 	meter := newSuspensionMeter()
 	for {
@@ -25,26 +25,27 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if slept := meter.read(); slept >= leastSuspension {
+		if slept := meter.read(); slept >= minimumSuspension {
 			p.Counters.Suspended.Add(slept.Milliseconds())
 			p.Log.Emit(event.MachineSuspended, "for_ms", slept.Milliseconds())
 		}
 	}
 }
 
-// suspensionMeter compares the clock that counts suspensions with the steady one.
+// suspensionMeter measures suspensions as the difference between two clocks: only the first
+// advances while the machine is suspended.
 type suspensionMeter struct {
-	counted clock.Instant
-	steady  time.Time
+	instant   clock.Instant
+	monotonic time.Time
 }
 
 func newSuspensionMeter() suspensionMeter {
-	return suspensionMeter{counted: clock.Now(), steady: time.Now()}
+	return suspensionMeter{instant: clock.Now(), monotonic: time.Now()}
 }
 
-// read returns how long the machine was suspended since the last reading.
+// read returns how long the machine was suspended since the last call.
 func (m *suspensionMeter) read() time.Duration {
 	before := *m
 	*m = newSuspensionMeter()
-	return m.counted.Sub(before.counted) - m.steady.Sub(before.steady)
+	return m.instant.Sub(before.instant) - m.monotonic.Sub(before.monotonic)
 }
--- a/kernel/suspension_test.go
+++ b/kernel/suspension_test.go
@@ -10,7 +10,9 @@
 	"github.com/loomcleat/loomcleat/clock/clocktest"
 )
 
-func TestTheMeterSeesSuspensionsAlone(t *testing.T) {
+// TestSuspensionMeter guards against counting elapsed time as a suspension, and against
+// counting a suspension twice.
+func TestSuspensionMeter(t *testing.T) {
 	is := is.New(t)
 	slept := time.Duration(0)
 	origin := clock.Now()
@@ -18,8 +20,8 @@
 	defer clocktest.Replace(func() clock.Instant { return origin.Add(time.Since(started) + slept) })()
 	meter := newSuspensionMeter()
 	time.Sleep(5 * time.Millisecond)
-	is.True(meter.read().Abs() < leastSuspension) // time that passed is none
+	is.True(meter.read().Abs() < minimumSuspension) // elapsed time does not count
 	slept = 5 * time.Second
-	is.True(meter.read() > 5*time.Second-leastSuspension)
-	is.True(meter.read().Abs() < leastSuspension) // it is told once
+	is.True(meter.read() > 5*time.Second-minimumSuspension)
+	is.True(meter.read().Abs() < minimumSuspension) // counted once
 }
--- a/kernel/target.go
+++ b/kernel/target.go
@@ -9,16 +9,17 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// target is the service that a request is for and how it is to be treated.
+// target is the service of a request and its effective policy.
 type target struct {
 	service string
 	policy  policy.Effective
-	routed  bool // by the route table
+	routed  bool // chosen by the route table
 }
 
-// routed finds the target of a request by the route table of the policy tree.
-// Without one, service says what it is for.
-func (p *Process) routed(r *http.Request, service func(*http.Request) string) (target, error) {
+// routeTarget returns the target of a request by the route table of the policy tree, or a
+// result.NoRoute error when no route matches. Without a route table, service returns the
+// name of the service.
+func (p *Process) routeTarget(r *http.Request, service func(*http.Request) string) (target, error) {
 	index := p.Policy.Load()
 	path := r.URL.EscapedPath()
 	if index.Routes().Empty() {
@@ -33,7 +34,8 @@
 	return target{service: name, policy: route.Apply(index.Resolve(name, r.Method, path)), routed: true}, nil
 }
 
-// routeService returns the service that a caller's request is for.
+// routeService returns the service of a request by the routes in the settings, or by the
+// first label of the host when none matches.
 func (p *Process) routeService(r *http.Request) string {
 	host := hostName(r.Host)
 	for _, route := range p.Settings.Routes {
--- a/kernel/traffic.go
+++ b/kernel/traffic.go
@@ -10,8 +10,7 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// serve turns a request into a Call, lets the chain answer it and writes the
-// answer.
+// serve builds a Call from a request, passes it to the chain and writes the answer.
 func (p *Process) serve(w http.ResponseWriter, r *http.Request, direction string, chain Handler, build func(*http.Request) (*Call, error)) {
 	started := time.Now()
 	p.inFlight.Add(1)
@@ -32,13 +31,13 @@
 			defer p.executions.remove(call.Execution)
 		}
 		answer, err = chain.Handle(call)
-		noteFailedCall(call, answer, err)
+		recordFailedCall(call, answer, err)
 	}
 	defer func() { p.Counters.observe(direction, err, time.Since(started)) }()
-	err = p.beginHead(w.Header(), r, call, answer, err)
+	err = p.prepareHead(w.Header(), r, call, answer, err)
 	if err != nil {
-		p.logEnd(r, call, direction, err, time.Since(started))
-		p.advise(call, err).WriteHTTP(w)
+		p.logFailure(r, call, direction, err, time.Since(started))
+		p.withRetryAfter(call, err).WriteHTTP(w)
 		return
 	}
 	defer answer.Body.Close()
@@ -46,35 +45,35 @@
 	writeAnswer(w, answer.Response)
 }
 
-// beginHead adds to the head of an answer, or of the failure err, what this process itself
-// has to say. With requests behind it on its connection, which would be lost with the
-// connection, an answer that breaks off is found out first: it returns the failure that
-// then stands in its place, or err.
-func (p *Process) beginHead(header http.Header, r *http.Request, call *Call, answer *Answer, err error) error {
+// prepareHead adds the headers of this process to the head of an answer or of the error err.
+// If later requests on the connection have been started, it first buffers the beginning of
+// the answer, so that a truncated answer does not close the connection and lose theirs. It
+// returns the error to send instead of the answer, or err.
+func (p *Process) prepareHead(header http.Header, r *http.Request, call *Call, answer *Answer, err error) error {
 	if call != nil && call.Inbound {
 		p.addReport(header, call, answer)
-		header["Date"] = nil // the process that answers the caller adds it
+		header["Date"] = nil // added by the process that answers the caller
 	}
-	behind := beginAnswer(r)
-	if p.Leaving() && !behind {
+	laterStarted := beginAnswer(r)
+	if p.Leaving() && !laterStarted {
 		header.Set("Connection", "close")
 	}
-	if err == nil && behind {
-		return holdBody(answer.Response)
+	if err == nil && laterStarted {
+		return prefetchBody(answer.Response)
 	}
 	return err
 }
 
-// noteFailedCall records a failed call of the own back end with the request that it was
-// made for: when that fails as well, it follows from the call.
-func noteFailedCall(call *Call, answer *Answer, err error) {
-	ofBackEnd := !call.Inbound && call.Execution != nil
-	if ofBackEnd && (err != nil || answer.Failed()) {
-		call.Execution.NoteCallFailed()
+// recordFailedCall records a failed call of the back end with the execution that made it.
+// If that execution fails too, its failure is attributed to the call.
+func recordFailedCall(call *Call, answer *Answer, err error) {
+	madeByBackEnd := !call.Inbound && call.Execution != nil
+	if madeByBackEnd && (err != nil || answer.Failed()) {
+		call.Execution.RecordCallFailure()
 	}
 }
 
-// recoverPanic keeps the process alive when a handler panics.
+// recoverPanic logs a panic of a handler and aborts the request.
 func (p *Process) recoverPanic(http.ResponseWriter) {
 	cause := recover()
 	if cause == nil {
@@ -83,10 +82,10 @@
 	if cause != http.ErrAbortHandler {
 		p.Log.Emit(event.RequestPanic, "panic", cause)
 	}
-	panic(http.ErrAbortHandler) // the caller sees a broken connection, not a whole answer
+	panic(http.ErrAbortHandler) // closes the connection, so that the answer cannot look complete
 }
 
-// checkReady refuses requests while the process does not know the policy.
+// checkReady returns a result.NotReady error until the process is ready.
 func (p *Process) checkReady() error {
 	if p.Ready() {
 		return nil
@@ -94,13 +93,13 @@
 	return result.New(result.NotReady, "the process has not learned the policy yet").WithUsualRetryAfter()
 }
 
-// newCall fills in what all calls have.
+// newCall builds a call with the fields that all directions have in common.
 func (p *Process) newCall(r *http.Request, to target) (*Call, error) {
 	body, err := newBody(r)
 	if err != nil {
 		return nil, err
 	}
-	header := r.Header // nobody else reads it any more
+	header := r.Header // not used elsewhere afterwards
 	wire.RemoveHopByHop(header)
 	call := &Call{
 		Service:     to.service,
--- a/kernel/transmit.go
+++ b/kernel/transmit.go
@@ -11,31 +11,31 @@
 	"github.com/loomcleat/loomcleat/transport/exchange"
 )
 
-// Transmitter sends calls over HTTP/1.1 and knows, when that fails, whether any
-// byte of the request was written. It sends each call once: another attempt is a
-// decision of the chain, with its own budget.
+// Transmitter sends calls over HTTP/1.1. Its errors distinguish whether any byte of the
+// request was written. It never retries: that is decided by the chain, within the retry
+// budget.
 type Transmitter struct {
 	client  *exchange.Client
-	refused result.Code // when no connection could be opened
+	refused result.Code // code of the error when nothing was sent
 }
 
 // TransmitterConfig configures a Transmitter.
 type TransmitterConfig struct {
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout is the timeout for opening a connection.
 	DialTimeout time.Duration
-	// MaximumIdle is the number of idle connections kept for each address.
-	// More save new connections under changing load, fewer save descriptors.
+	// MaximumIdle is the maximum number of idle connections per address.
 	MaximumIdle int
-	// IdleTimeout closes idle connections. It should be shorter than the idle
-	// timeout of the other side.
+	// IdleTimeout is the time after which idle connections are closed. It should be
+	// shorter than the idle timeout of the peer.
 	IdleTimeout time.Duration
-	// Dial opens connections. Default: a socket.Dialer.
+	// Dial opens connections. The default is a socket.Dialer.
 	Dial DialFunc
-	// Refused is the code of the error when no connection could be opened.
+	// Refused is the code of the error when nothing of the request was sent, as when no
+	// connection could be opened.
 	Refused result.Code
 }
 
-// NewTransmitter returns a Transmitter.
+// NewTransmitter returns a Transmitter with its own connection pool.
 func NewTransmitter(config TransmitterConfig) *Transmitter {
 	return &Transmitter{
 		refused: config.Refused,
@@ -51,8 +51,8 @@
 // Close closes idle connections.
 func (t *Transmitter) Close() { t.client.Close() }
 
-// Send sends the call to address with the given headers and returns the
-// response with its body open.
+// Send sends the call to address with the given headers. The caller closes the body of the
+// response. The error is a *result.Error.
 func (t *Transmitter) Send(ctx context.Context, call *Call, address string, header http.Header) (*http.Response, error) {
 	response, err := t.client.Do(ctx, address, requestOf(call, header))
 	if err != nil {
@@ -84,12 +84,13 @@
 		}
 	}
 	if _, exists := header["User-Agent"]; !exists {
-		header["User-Agent"] = []string{""} // else one is added
+		header["User-Agent"] = []string{""} // keeps the transport from adding one
 	}
 	return request
 }
 
-// classify turns a transport error into a numbered one.
+// classify converts a transport error to a *result.Error, by whether the request was
+// written and whether ctx was cancelled or timed out.
 func (t *Transmitter) classify(ctx context.Context, err error) error {
 	var failed *exchange.Error
 	wrote := !errors.As(err, &failed) || failed.Wrote
--- a/kernel/transmit_test.go
+++ b/kernel/transmit_test.go
@@ -19,9 +19,9 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// rudeServer answers the first request of each connection and closes the
-// connection after it has read the second one. It counts whole requests.
-func rudeServer(t *testing.T) (address string, requests *atomic.Int64) {
+// startClosingServer starts a server that answers the first request of each connection and
+// closes the connection after it has read the second one. It counts complete requests.
+func startClosingServer(t *testing.T) (address string, requests *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,13 +34,13 @@
 			if err != nil {
 				return
 			}
-			go serveRudely(conn, requests)
+			go serveAndClose(conn, requests)
 		}
 	}()
 	return listener.Addr().String(), requests
 }
 
-func serveRudely(conn net.Conn, requests *atomic.Int64) {
+func serveAndClose(conn net.Conn, requests *atomic.Int64) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for answered := false; ; answered = true {
@@ -71,8 +71,8 @@
 	}
 }
 
-// hiddenResendCases are requests that Go's transport sends a second time by
-// itself when a connection that it used before turns out to be closed.
+// hiddenResendCases are requests that net/http's transport resends on its own when a reused
+// connection turns out to be closed.
 var hiddenResendCases = []struct{ name, method string }{
 	{"GET without a body", http.MethodGet},
 	{"HEAD", http.MethodHead},
@@ -81,26 +81,30 @@
 	{"DELETE without a body and with an Idempotency-Key", http.MethodDelete},
 }
 
-func TestHiddenResendOfTheStandardTransport(t *testing.T) {
+// TestStandardTransportResends checks that the cases of TestTransmitterSendsOnce would fail
+// with net/http's transport.
+func TestStandardTransportResends(t *testing.T) {
 	for _, c := range hiddenResendCases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			address, requests := rudeServer(t)
+			address, requests := startClosingServer(t)
 			client := &http.Client{Transport: &http.Transport{}}
 			for range 2 {
 				request, err := http.NewRequest(c.method, "http://"+address+"/x", nil)
 				is.NoErr(err)
 				request.Header.Set(wire.HeaderIdempotencyKey, "key")
 				response, err := client.Do(request)
-				is.NoErr(err) // the caller notices nothing
+				is.NoErr(err) // the resend is hidden from the caller
 				_, _ = io.Copy(io.Discard, response.Body)
 				response.Body.Close()
 			}
-			is.Equal(requests.Load(), int64(3)) // two requests were made, three arrived
+			is.Equal(requests.Load(), int64(3)) // two requests sent, three received
 		})
 	}
 }
 
+// TestTransmitterSendsOnce guards against a request that is executed twice because the
+// transport resends it.
 func TestTransmitterSendsOnce(t *testing.T) {
 	for _, c := range hiddenResendCases {
 		for _, body := range []string{"", "body"} {
@@ -109,7 +113,7 @@
 			}
 			t.Run(c.name+" "+body, func(t *testing.T) {
 				is := is.New(t)
-				address, requests := rudeServer(t)
+				address, requests := startClosingServer(t)
 				transmitter := NewTransmitter(TransmitterConfig{MaximumIdle: 1, Refused: result.NodeRefused})
 				response, err := transmitter.Send(t.Context(), newTestCall(c.method, body), address, http.Header{wire.HeaderIdempotencyKey: {"key"}})
 				is.NoErr(err)
@@ -119,7 +123,7 @@
 				is.True(err != nil)
 				is.Equal(result.From(err).Code, result.ConnectionLost)
 				is.True(!result.From(err).NotRun())
-				is.Equal(requests.Load(), int64(2)) // each request arrived once
+				is.Equal(requests.Load(), int64(2)) // each request was received once
 			})
 		}
 	}
@@ -139,13 +143,13 @@
 	cases := []struct {
 		name    string
 		address string
-		cancel  bool // the caller goes away; otherwise the time runs out
+		cancel  bool // the caller cancels; otherwise the timeout passes
 		code    result.Code
 		notRun  bool
 	}{
 		{"no connection", closed.Addr().String(), false, result.NodeRefused, true},
 		{"no answer in time", silent.Addr().String(), false, result.DeadlineExceeded, false},
-		{"the caller goes away", silent.Addr().String(), true, result.CallerCancelled, false},
+		{"cancelled by the caller", silent.Addr().String(), true, result.CallerCancelled, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -166,7 +170,7 @@
 	}
 }
 
-func TestHeadersOfOneConnectionAreRemoved(t *testing.T) {
+func TestRemoveHopByHop(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{}
 	for _, name := range strings.Fields("Connection Keep-Alive Te Trailer Transfer-Encoding Upgrade X-Named X-Kept") {
