--- a/result/codes.go
+++ b/result/codes.go
@@ -1,7 +1,7 @@
-// Package result defines the numbered result codes of loomcleat and the error
-// type that carries them.
+// Package result defines the numbered result codes of loomcleat and the error type that
+// carries them.
 //
-// Codes are grouped by what the caller may conclude:
+// Codes are grouped by outcome:
 //
 //	1xxx  a process could not start, or an operator's command failed
 //	2xxx  the request was refused and did not run anywhere
@@ -9,16 +9,16 @@
 //	4xxx  the request itself is not acceptable and did not run
 //	5xxx  a defect in loomcleat
 //
-// What a code lets a process conclude about another attempt, the node and the back end
-// stands in conclusion.go, what a refused caller is told about coming again in
-// retryafter.go. The package relies on nothing of the mesh.
+// conclusion.go defines what a code means for retries and for the health of the node and
+// the back end, and retryafter.go the Retry-After that a refused caller receives. The
+// package has no state and imports no other package of loomcleat.
 //
-// The table in docs/RESULTS.md is checked against Table by a test.
+// A test checks docs/RESULTS.md against Table.
 package result
 
 import "net/http"
 
-// Code is a numbered result. It is stable across versions.
+// Code is a result code. Its number and meaning are stable across versions.
 type Code int
 
 // Codes of processes and operator commands.
@@ -64,7 +64,7 @@
 	CrashSuspected   Code = 3006
 )
 
-// Codes of requests that are not acceptable.
+// Codes of requests that are not acceptable as they are.
 const (
 	BadRequest     Code = 4001
 	KeyReused      Code = 4002
@@ -83,12 +83,12 @@
 type Definition struct {
 	Code   Code
 	Name   string
-	Status int  // HTTP status sent to the caller; 0 when never sent over HTTP
-	NotRun bool // true when the request certainly did not run anywhere
+	Status int  // HTTP status; 0 when the code is never sent over HTTP
+	NotRun bool // the request certainly did not run anywhere
 	Text   string
 }
 
-// Table lists every code in ascending order.
+// Table defines every code, in ascending order.
 var Table = []Definition{
 	{SettingsInvalid, "settings-invalid", 0, true, "A settings file or flag has a wrong key, unit or range; the process did not start."},
 	{AddressInUse, "address-in-use", 0, true, "A listen address cannot be bound; the process did not start."},
@@ -138,8 +138,7 @@
 	return index
 }()
 
-// Definition returns the table row of c, or the row of Internal for a number
-// that is not in the table.
+// Definition returns the definition of c, or that of Internal when c is not in Table.
 func (c Code) Definition() Definition {
 	if definition, ok := byCode[c]; ok {
 		return definition
@@ -147,7 +146,7 @@
 	return byCode[Internal]
 }
 
-// Known reports whether c is in the table.
+// Known reports whether c is in Table.
 func (c Code) Known() bool {
 	_, ok := byCode[c]
 	return ok
--- a/result/conclusion.go
+++ b/result/conclusion.go
@@ -1,55 +1,58 @@
 package result
 
-// Conclusion is what the end of an attempt with a code lets the caller's process
-// conclude. The zero value says that another attempt would end alike, and that the
-// attempt counts for or against its node by whether it ran.
+// Conclusion is the meaning of a result code for the process that made the attempt. The
+// zero value means that another attempt would have the same result, and that the node
+// refused the request if it did not run, and failed otherwise.
 type Conclusion struct {
-	// Next is what to expect of another attempt.
+	// Next is the expected result of another attempt.
 	Next Next
-	// Absent says that a node or its back end was not there, or not ready, for a
-	// moment, as while it is being started again.
+	// Absent means that no node or back end was available or ready, which is usually
+	// temporary, as during a restart.
 	Absent bool
-	// ByBackEnd says that the back end itself refused. The attempt arrived there, so that
-	// it counts as one in the budgets that bound arrivals.
+	// ByBackEnd means that the back end itself refused the request. Since the attempt
+	// reached the back end, it counts in the budgets that bound such attempts.
 	ByBackEnd bool
-	// Overload says that the request was refused for lack of room, so that the gate of
-	// its route tells when there may be room again.
+	// Overload means that the request was refused for lack of capacity. The gate of its
+	// route estimates when capacity is available again.
 	Overload bool
-	// BackEndFault says that the back end failed by itself: its answer was lost or is none.
+	// BackEndFault means that the back end itself failed: its answer was lost or invalid.
 	BackEndFault bool
-	// Node is what the attempt says about the node that it went to.
+	// Node is the evidence about the node to which the attempt was sent.
 	Node NodeEvidence
 }
 
-// Next is what to expect of another attempt.
+// Next is the expected result of another attempt.
 type Next int
 
-// Expectations of another attempt.
+// Expected results of another attempt.
 const (
-	// Alike: it would end alike, or must not be made.
+	// Alike means the same result, or that another attempt must not be made.
 	Alike Next = iota
-	// OtherNode: another node may serve the request, which this one did not run.
+	// OtherNode means that the request did not run and another node may serve it.
 	OtherNode
-	// FasterNode: the same, if enough time is left for a node that is faster.
+	// FasterNode is OtherNode, provided that the remaining time is enough for a faster
+	// node.
 	FasterNode
-	// Unclear: the request may have run, and may be answered the next time.
+	// Unclear means that the request may have run, and that another attempt may get an
+	// answer.
 	Unclear
 )
 
-// NodeEvidence is what an attempt says about the node that it went to.
+// NodeEvidence is the evidence that an attempt gives about the node to which it was sent.
 type NodeEvidence int
 
 // Kinds of evidence.
 const (
-	// ByRun: the node refused when the request did not run, and failed otherwise.
+	// ByRun means that the node refused the request if it did not run, and failed
+	// otherwise.
 	ByRun NodeEvidence = iota
-	// NodeFailed: the node failed, although the request did not run.
+	// NodeFailed means that the node failed although the request did not run.
 	NodeFailed
-	// NoEvidence: the end has to do with the request or its caller.
+	// NoEvidence means that the result was caused by the request or its caller.
 	NoEvidence
 )
 
-// conclusions holds the codes whose Conclusion is not the zero value.
+// conclusions holds the Conclusions that are not the zero value.
 var conclusions = map[Code]Conclusion{
 	Overloaded:         {Next: OtherNode, Overload: true},
 	ShedEarly:          {Overload: true},
@@ -71,5 +74,5 @@
 	CrashSuspected:     {BackEndFault: true},
 }
 
-// Conclusion returns what an end with c lets one conclude.
+// Conclusion returns the Conclusion of an attempt that ended with c.
 func (c Code) Conclusion() Conclusion { return conclusions[c] }
--- a/result/conclusion_test.go
+++ b/result/conclusion_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestConclusionsAgreeWithTheTable: what did not run cannot be unclear, and what may
-// have run was neither absent nor is it free for another node.
-func TestConclusionsAgreeWithTheTable(t *testing.T) {
+// TestConclusionsMatchTable guards against a Conclusion that allows another attempt of a
+// request that may have run, or that contradicts NotRun in another way.
+func TestConclusionsMatchTable(t *testing.T) {
 	is := is.New(t)
 	for code, conclusion := range conclusions {
 		is.True(code.Known())
@@ -25,6 +25,6 @@
 		if conclusion.BackEndFault {
 			is.True(!notRun)
 		}
-		is.True(conclusion != Conclusion{}) // codes without a conclusion are left out
+		is.True(conclusion != Conclusion{}) // zero values are omitted from conclusions
 	}
 }
--- a/result/error.go
+++ b/result/error.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Error is the error type of loomcleat. It carries a numbered code, a message
-// for people and, for refusals, the time after which asking again makes sense.
+// Error is the error type of loomcleat. It carries a result code, a human-readable
+// message and, for refusals, the time after which the caller may retry.
 type Error struct {
 	Code       Code
 	Message    string
-	RetryAfter time.Duration // 0 when the caller is told nothing
-	// FractionalRetryAfter says that the caller understands fractions of a second in
-	// the Retry-After header. Others are told whole seconds, as HTTP has it.
+	RetryAfter time.Duration // 0 for no Retry-After header
+	// FractionalRetryAfter is true when the caller understands fractions of a second in
+	// the Retry-After header. Other callers get whole seconds, as HTTP requires.
 	FractionalRetryAfter bool
 	Cause                error // nil when there is none
-	// Ran is true when an earlier attempt of the same request may have run, so
-	// that the error must not be reported as not-run whatever its code says.
+	// Ran is true when an earlier attempt of the same request may have run. The error is
+	// then never reported as not-run, whatever its code.
 	Ran bool
 }
 
@@ -37,14 +37,14 @@
 	return wrapped
 }
 
-// WithRetryAfter tells the caller when to ask again, from the wait that was computed for
-// it; 0 when nothing is known of the moment. RetryAfter decides what it is told.
+// WithRetryAfter sets e.RetryAfter to the result of RetryAfter for the computed wait, 0
+// when none was computed. It returns e.
 func (e *Error) WithRetryAfter(computed time.Duration) *Error {
 	e.RetryAfter = RetryAfter(e.Code, computed)
 	return e
 }
 
-// WithUsualRetryAfter tells the caller the usual wait of the error's code.
+// WithUsualRetryAfter sets e.RetryAfter to the usual wait of its code. It returns e.
 func (e *Error) WithUsualRetryAfter() *Error { return e.WithRetryAfter(0) }
 
 // Error implements error.
@@ -56,7 +56,7 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.Cause }
 
 // NotRun reports whether the request certainly did not run anywhere.
@@ -64,7 +64,7 @@
 	return e.Code.Definition().NotRun && !e.Ran
 }
 
-// From converts any error to an *Error. Errors of other types become Internal.
+// From returns the *Error in the chain of err. Other errors are wrapped as Internal.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -93,7 +93,7 @@
 	OutcomeUnknown = "unknown"
 )
 
-// Outcome returns the value of HeaderOutcome for e.
+// Outcome returns OutcomeNotRun or OutcomeUnknown, the value of HeaderOutcome for e.
 func (e *Error) Outcome() string {
 	if e.NotRun() {
 		return OutcomeNotRun
@@ -101,8 +101,8 @@
 	return OutcomeUnknown
 }
 
-// Status returns the HTTP status for e. An error whose request may have run
-// never gets a status that promises that it has not.
+// Status returns the HTTP status for e. It is 502 instead of the 5xx status of a not-run
+// code when an earlier attempt may have run.
 func (e *Error) Status() int {
 	status := e.Code.Definition().Status
 	switch {
@@ -115,8 +115,8 @@
 	}
 }
 
-// WriteHTTP sends e as an HTTP response: numbered header, outcome header,
-// Retry-After and a small JSON body.
+// WriteHTTP writes e as an HTTP response: the status, the code and outcome headers,
+// Retry-After and a JSON Body.
 func (e *Error) WriteHTTP(w http.ResponseWriter) {
 	definition := e.Code.Definition()
 	header := w.Header()
@@ -135,8 +135,8 @@
 	_, _ = w.Write(body)
 }
 
-// retryAfterText returns the value of the Retry-After header: whole seconds, rounded up,
-// or milliseconds as a fraction for callers that understand it.
+// retryAfterText returns the value of the Retry-After header: whole seconds, rounded up, or
+// seconds with three decimals when FractionalRetryAfter is set.
 func (e *Error) retryAfterText() string {
 	seconds := e.RetryAfter.Seconds()
 	if e.FractionalRetryAfter {
--- a/result/golden_test.go
+++ b/result/golden_test.go
@@ -11,9 +11,9 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// TestTheWholeOfAnError: headers and body. Numbers and names of the codes are compared
-// with docs/RESULTS.md by TestTableMatchesDocument.
-func TestTheWholeOfAnError(t *testing.T) {
+// TestErrorResponse guards against changes of the headers and the body of an error on the
+// wire.
+func TestErrorResponse(t *testing.T) {
 	is := is.New(t)
 	refusal := result.New(result.Overloaded, "a message").WithRetryAfter(1234 * time.Millisecond)
 	refusal.FractionalRetryAfter = true
@@ -28,4 +28,5 @@
 	is.Equal(result.OutcomeUnknown, "unknown")
 }
 
-func TestTheBodyOfAnError(t *testing.T) { golden.Message[result.Body](t, "body.jsonl") }
+// TestErrorBody guards against changes of the JSON keys of Body.
+func TestErrorBody(t *testing.T) { golden.Message[result.Body](t, "body.jsonl") }
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -22,7 +22,7 @@
 			rows++
 		}
 	}
-	is.Equal(rows, len(Table)) // one row a code, no more
+	is.Equal(rows, len(Table)) // one row per code
 	for _, definition := range Table {
 		row := fmt.Sprintf("| %d | %s | %d | %t | %s |", definition.Code, definition.Name, definition.Status, definition.NotRun, definition.Text)
 		is.True(strings.Contains(string(page), row)) // docs/RESULTS.md has this row
@@ -44,7 +44,9 @@
 	}
 }
 
-func TestErrorOnTheWire(t *testing.T) {
+// TestErrorStatusAndOutcome guards against a response that claims that a request did not run
+// when it may have.
+func TestErrorStatusAndOutcome(t *testing.T) {
 	cases := []struct {
 		name       string
 		err        *Error
--- a/result/retryafter.go
+++ b/result/retryafter.go
@@ -2,74 +2,74 @@
 
 import "time"
 
-// This file decides what a refused caller is told in Retry-After. The wait depends on
-// the result code. Where it also depends on the moment, whoever refuses the request
-// passes in what it has computed:
+// This file defines the Retry-After of refused requests. It depends on the result code.
+// Where it also depends on the current state, the code that refuses the request computes
+// the wait:
 //
-//   - overload (Conclusion.Overload): when the gate of the route admits everything again
-//     (admission.Gate.Reopens, spread by SpreadWait)
-//   - QuotaExceeded: when the tenant's bucket has a token again (quota.Decision)
-//   - RequestQuarantined: when the quarantine of the request ends (quarantine.Ledger)
-//
-// Codes without a row tell the caller nothing.
+//   - overload (Conclusion.Overload): the time until the gate of the route admits
+//     everything again (admission.Gate.Reopens, spread by SpreadWait)
+//   - QuotaExceeded: the time until the tenant's bucket has a token (quota.Decision)
+//   - RequestQuarantined: the time until the quarantine of the request ends
+//     (quarantine.Ledger)
 
-// wait is what callers are told for one code.
+// wait holds the waits of a result code.
 type wait struct {
-	usual time.Duration // told when nothing was computed; 0: no Retry-After
-	least time.Duration // lower bound of what was computed
+	usual   time.Duration // used when no wait was computed; 0 for no Retry-After
+	minimum time.Duration // lower bound of computed waits
 }
 
-// usualWait is told where nothing better is known. It is one unit of the header: callers
-// that know no fractions could not be told less. Each of the conditions below usually
-// ends within it.
+// usualWait is the wait when none was computed. The conditions below usually end within it,
+// and the header has no smaller unit.
 const usualWait = time.Second
 
-// leastQuotaWait is the least that a caller beyond its quota is told. A token may be due
-// within microseconds, and a caller that came back at once would only be refused again.
-const leastQuotaWait = 100 * time.Millisecond
+// minimumQuotaWait is the minimum wait of a caller beyond its quota. Its next token may be
+// due within microseconds, and an immediate retry would be refused again.
+const minimumQuotaWait = 100 * time.Millisecond
 
 var waits = map[Code]wait{
-	// Overload: limits and levels follow a change of demand within a second.
+	// Overload: limits and levels adapt to a change of demand within a second.
 	Overloaded:     {usual: usualWait},
 	ShedEarly:      {usual: usualWait},
 	BackendRefused: {usual: usualWait},
 
-	// Something is absent: a process that is restarted is back within about a second,
-	// and a back end sends a heartbeat about once a second.
+	// Absence: a restart takes about a second, and a back end sends a heartbeat about
+	// once a second.
 	NoNode:             {usual: usualWait},
 	NodeRefused:        {usual: usualWait},
 	BackendUnreachable: {usual: usualWait},
 	BackendLeft:        {usual: usualWait},
 	NotReady:           {usual: usualWait},
-	Draining:           {usual: usualWait}, // another process takes the request
+	Draining:           {usual: usualWait}, // another process serves the request
 
-	// The process lacks proof or a majority: it tries again within a second.
+	// No proof or no majority: the process retries within a second.
 	ClaimUnavailable: {usual: usualWait},
 	KeysUnproven:     {usual: usualWait},
 
-	// The store counts its callers' requests by the second.
+	// The store limits the rate of requests per second.
 	StoreUnavailable: {usual: usualWait},
 
-	// A tenant beyond its quota has room again once it sends less, of which the
-	// coordinator hears with the next report, within a second.
-	QuotaExceeded: {usual: usualWait, least: leastQuotaWait},
+	// Quota: when the tenant sends less, the coordinator receives that with the next
+	// report, within a second.
+	QuotaExceeded: {usual: usualWait, minimum: minimumQuotaWait},
 }
 
-// RetryAfter returns what a caller is told that was refused with a code. computed is the
-// wait that follows from the moment, 0 when nothing is known of it.
+// RetryAfter returns the wait for a request that was refused with code, 0 for no
+// Retry-After header. computed is the wait computed from the current state, 0 when there
+// is none.
 func RetryAfter(code Code, computed time.Duration) time.Duration {
 	row := waits[code]
 	if computed <= 0 {
 		return row.usual
 	}
-	return max(computed, row.least)
+	return max(computed, row.minimum)
 }
 
-// waitSpread is the largest part of a wait that is added to it at random, so that callers
-// that were refused together do not come back together.
+// waitSpread is the maximum random extension of a wait, as a share of it. It keeps callers
+// that were refused together from retrying together.
 const waitSpread = 0.5
 
-// SpreadWait lengthens a wait by a random part of it. random is even from 0 up to 1.
+// SpreadWait extends a wait by a random share of up to waitSpread. random is uniformly
+// distributed in [0, 1).
 func SpreadWait(wait time.Duration, random float64) time.Duration {
 	spread := 1 + waitSpread*random
 	return time.Duration(spread * float64(wait))
--- a/result/retryafter_test.go
+++ b/result/retryafter_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestRetryAfterOfEachCode walks through all codes: what a caller is told when nothing
-// was computed, and when a short or a long wait was.
-func TestRetryAfterOfEachCode(t *testing.T) {
+// TestRetryAfter guards against codes with a wrong wait: without a computed wait, with a
+// short one and with a long one.
+func TestRetryAfter(t *testing.T) {
 	const short, long = time.Millisecond, 5 * time.Second
 	usual := map[Code]time.Duration{
 		StoreUnavailable: time.Second, Overloaded: time.Second, ShedEarly: time.Second, Draining: time.Second,
@@ -22,11 +22,11 @@
 			is := is.New(t)
 			is.Equal(RetryAfter(definition.Code, 0), usual[definition.Code])
 			is.Equal(RetryAfter(definition.Code, long), long)
-			least := short
+			minimum := short
 			if definition.Code == QuotaExceeded {
-				least = 100 * time.Millisecond
+				minimum = 100 * time.Millisecond
 			}
-			is.Equal(RetryAfter(definition.Code, short), least)
+			is.Equal(RetryAfter(definition.Code, short), minimum)
 		})
 	}
 }
