--- a/event/event_test.go
+++ b/event/event_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	is.NoErr(err)
-	rows := strings.Count(string(page), "\n| ") - 2 // without the heading and its rule
+	rows := strings.Count(string(page), "\n| ") - 2 // without the header row and its delimiter
 	is.Equal(rows, len(Catalogue))
 	for i, definition := range Catalogue {
 		if i > 0 {
--- a/event/events.go
+++ b/event/events.go
@@ -1,14 +1,14 @@
-// Package event defines the numbered log events of loomcleat and a logger that
-// writes them through hclog.
+// Package event defines the numbered log events of loomcleat and a logger that writes them
+// through hclog.
 //
-// It owns the catalogue, the bound on lines of one event, and the queue between a process
-// and whoever reads its log. It relies on no other package of loomcleat.
+// It owns the catalogue of events, the rate limit for the lines of each event, and the
+// queue between a process and its log output. It imports no other package of loomcleat.
 //
-// Numbers are stable across versions, so that alerts can be written against
-// them. docs/EVENTS.md is checked against Catalogue by a test.
+// Event numbers are stable across versions, so that alerts can match them. A test checks
+// docs/EVENTS.md against Catalogue.
 package event
 
-// Number identifies a log event.
+// Number is the number of a log event.
 type Number int
 
 // Events of the process life cycle.
@@ -98,7 +98,7 @@
 	Text   string
 }
 
-// Catalogue lists every event in ascending order.
+// Catalogue defines every event, in ascending order.
 var Catalogue = []Definition{
 	{ProcessStarting, "process-starting", "info", "The process has checked its settings and bound its listeners."},
 	{ProcessReady, "process-ready", "info", "The process knows the policy in force and accepts requests."},
@@ -167,8 +167,7 @@
 	return index
 }()
 
-// Definition returns the catalogue row of n. It panics for a number that is not
-// in the catalogue, which the catalogue test rules out for the constants above.
+// Definition returns the definition of n. It panics when n is not in Catalogue.
 func (n Number) Definition() Definition {
 	definition, ok := byNumber[n]
 	if !ok {
--- a/event/limit.go
+++ b/event/limit.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// Bounds of the lines of one event. Under overload an event may come thousands of times a
-// second; the first lines show what happens. Estimates.
+// Rate limit for the lines of each event. Under overload an event may occur thousands of
+// times a second, of which the first lines are enough for a diagnosis.
 const (
-	// linesPerSecond is the lasting rate.
+	// linesPerSecond is the sustained rate.
 	linesPerSecond = 10
 	// lineBurst is the number of lines that may be written at once.
 	lineBurst = 50
-	// reportInterval is the least time between two lines that tell how many were left out.
+	// reportInterval is the minimum time between two lines with the number of suppressed
+	// lines.
 	reportInterval = time.Second
 )
 
-// limiter bounds the lines of each event, so that overload does not turn into a
-// flood of lines. It is safe for concurrent use.
+// limiter limits the rate of lines of each event. It is safe for concurrent use.
 type limiter struct {
 	mutex   sync.Mutex
 	buckets map[Number]*bucket
 }
 
-// bucket is the allowance of one event.
+// bucket is the token bucket of one event.
 type bucket struct {
 	tokens     float64
 	last       time.Time
 	suppressed int64
-	reported   time.Time // when the suppressed lines were last told of
+	reported   time.Time // time of the last line with a suppressed count
 }
 
-// allow reports whether a line of the event may be written, and how many were
-// not since that was last told. The number is given once a second at most.
+// allow reports whether a line of the event may be written. suppressed is the number of
+// lines suppressed since it was last returned, at most once per reportInterval; otherwise
+// it is 0.
 func (l *limiter) allow(now time.Time, number Number) (allowed bool, suppressed int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/event/limit_test.go
+++ b/event/limit_test.go
@@ -10,27 +10,30 @@
 	"github.com/matryer/is"
 )
 
-func TestLinesOfAnEventAreBounded(t *testing.T) {
+// TestLinesPerEventAreLimited guards against a flood of log lines under overload, and
+// against suppressed lines that are not counted.
+func TestLinesPerEventAreLimited(t *testing.T) {
 	is := is.New(t)
 	l := &limiter{buckets: map[Number]*bucket{}}
 	start := time.Unix(1000, 0)
-	allowed, told := int64(0), int64(0)
+	allowed, reported := int64(0), int64(0)
 	const calls = 100000
-	for i := range calls { // ten seconds of a flood
+	for i := range calls { // ten seconds at 10000 events per second
 		ok, suppressed := l.allow(start.Add(time.Duration(i)*100*time.Microsecond), RequestRefused)
 		if ok {
 			allowed++
 		}
-		told += suppressed
+		reported += suppressed
 	}
 	is.True(allowed <= lineBurst+10*linesPerSecond+1)
 	is.True(allowed >= lineBurst+9*linesPerSecond)
-	is.True(told > (calls-allowed)*8/10) // all but those of the last second are told of
+	is.True(reported > (calls-allowed)*8/10) // all but those of the last second are reported
 	other, _ := l.allow(start, MemberDead)
-	is.True(other) // other events are not affected
+	is.True(other) // other events are not limited
 }
 
-func TestSuppressedLinesAreCountedInALaterLine(t *testing.T) {
+// TestLoggerLimitsLines guards against a Logger that bypasses the limit.
+func TestLoggerLimitsLines(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	logger := NewLogger(Options{Output: &output, Level: "info", JSON: true})
@@ -40,7 +43,7 @@
 	is.True(strings.Count(output.String(), "\n") <= lineBurst+linesPerSecond)
 }
 
-// stuckWriter is a log that nobody reads.
+// stuckWriter is an output that blocks until release is closed.
 type stuckWriter struct{ release chan struct{} }
 
 func (w stuckWriter) Write(line []byte) (int, error) {
@@ -50,15 +53,17 @@
 
 var _ io.Writer = stuckWriter{}
 
-func TestALogThatNobodyReadsBlocksNothing(t *testing.T) {
+// TestQueueWriterDoesNotBlock guards against a process that hangs because its log output
+// blocks.
+func TestQueueWriterDoesNotBlock(t *testing.T) {
 	is := is.New(t)
 	stuck := stuckWriter{release: make(chan struct{})}
 	defer close(stuck.release)
 	writer := NewQueueWriter(stuck, 4)
-	for range 100 { // would hang
+	for range 100 { // would block
 		n, err := writer.Write([]byte("line\n"))
 		is.NoErr(err)
 		is.Equal(n, 5)
 	}
-	is.True(writer.pending.Load() <= 5) // four wait, one is being written; the others were dropped
+	is.True(writer.pending.Load() <= 5) // four queued and one being written; the others are dropped
 }
--- a/event/logger.go
+++ b/event/logger.go
@@ -7,19 +7,19 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Logger writes numbered events. The zero value is not usable; call NewLogger
-// or Discard.
+// Logger writes numbered events and limits the rate of lines of each event. It must be
+// created by NewLogger or Discard.
 type Logger struct {
 	sink  hclog.Logger
 	limit *limiter
 }
 
-// Options selects how events are written.
+// Options configures a Logger.
 type Options struct {
 	Output io.Writer
 	Level  string // trace, debug, info, warn or error
-	JSON   bool   // one JSON object a line instead of text
-	Name   string // process name in each line
+	JSON   bool   // write one JSON object per line instead of text
+	Name   string // logger name, written in each line
 }
 
 // NewLogger returns a Logger that writes to options.Output.
@@ -42,11 +42,12 @@
 	return &Logger{limit: l.limit, sink: l.sink.With(pairs...)}
 }
 
-// SetLevel changes the level from which on events are written.
+// SetLevel sets the minimum level of the events that are written.
 func (l *Logger) SetLevel(level string) { l.sink.SetLevel(hclog.LevelFromString(level)) }
 
-// Emit writes the event with key-value pairs at the level of its definition. The
-// lines of one event are bounded; a line tells how many before it were left out.
+// Emit writes the event with key-value pairs at the level of its definition, unless the
+// rate limit of the event suppresses it. The number of suppressed lines is added to a later
+// line.
 func (l *Logger) Emit(number Number, pairs ...any) {
 	allowed, suppressed := l.limit.allow(time.Now(), number)
 	if !allowed {
--- a/event/queue.go
+++ b/event/queue.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// QueueWriter passes lines to another writer in a goroutine of its own, so that a
-// reader of the log that stops reading never holds up the process. Lines that
-// do not fit into the queue are dropped: whoever might be told of it does not read.
+// QueueWriter writes lines to another writer in its own goroutine, so that a blocked log
+// output does not block the process. Lines that do not fit into the queue are dropped
+// without a report, which could not be written either.
 type QueueWriter struct {
 	lines   chan []byte
-	pending atomic.Int64 // waiting or being written
+	pending atomic.Int64 // lines queued or being written
 }
 
-// NewQueueWriter returns a QueueWriter for at most size waiting lines.
+// NewQueueWriter returns a QueueWriter with room for size queued lines. Its goroutine runs
+// until the process exits.
 func NewQueueWriter(output io.Writer, size int) *QueueWriter {
 	w := &QueueWriter{lines: make(chan []byte, size)}
 	go w.run(output)
@@ -23,7 +24,7 @@
 
 func (w *QueueWriter) run(output io.Writer) {
 	for line := range w.lines {
-		_, _ = output.Write(line) // there is nobody to tell
+		_, _ = output.Write(line) // an error cannot be logged
 		w.pending.Add(-1)
 	}
 }
@@ -39,12 +40,12 @@
 	return len(line), nil
 }
 
-// flushCheck is the time between two looks at what is pending.
-const flushCheck = time.Millisecond
+// flushInterval is the time between two checks for pending lines.
+const flushInterval = time.Millisecond
 
-// Flush waits until all lines are written, at most for the given time.
+// Flush waits until all queued lines are written, at most for the given time.
 func (w *QueueWriter) Flush(wait time.Duration) {
 	for end := time.Now().Add(wait); w.pending.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(flushCheck)
+		time.Sleep(flushInterval)
 	}
 }
