--- a/plugin/admission/faults.go
+++ b/plugin/admission/faults.go
@@ -9,13 +9,13 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// faults is the share of requests that the back end failed by itself lately.
+// faults tracks the share of recent requests that failed because of the back end itself.
 type faults struct {
 	mutex sync.Mutex
 	share balance.DecayingShare
 }
 
-func (f *faults) learn(now time.Time, failed bool) {
+func (f *faults) record(now time.Time, failed bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.share.Learn(now, balance.FaultHalfLife, failed)
@@ -27,12 +27,12 @@
 	return f.share.At(now, balance.FaultHalfLife)
 }
 
-// isFault reports whether an error of a request that was handed to the back end is the
-// back end's own fault: its answer was lost or is none.
+// isFault reports whether an error is the back end's own fault: the answer to a request that
+// the back end had received was lost or is invalid.
 func isFault(err error) bool { return result.From(err).Code.Conclusion().BackEndFault }
 
-// isOwnFailure reports whether an answer is a failure of the back end itself, rather
-// than one that follows from a call of its own.
+// isOwnFailure reports whether an answer is a failure of the back end itself. It is not if a
+// call that the back end made for the request failed.
 func isOwnFailure(call *kernel.Call, answer *kernel.Answer) bool {
 	return answer.Failed() && !call.Execution.CallFailed()
 }
--- a/plugin/admission/faults_test.go
+++ b/plugin/admission/faults_test.go
@@ -8,9 +8,8 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// TestFaultsOfTheBackEnd: lost and wrong answers are faults of the back end, and
-// nothing else is.
-func TestFaultsOfTheBackEnd(t *testing.T) {
+// TestIsFault guards against blaming the back end for errors other than a lost or wrong answer.
+func TestIsFault(t *testing.T) {
 	is := is.New(t)
 	faults := map[result.Code]bool{result.ConnectionLost: true, result.CrashSuspected: true, result.AnswerMismatch: true}
 	for _, definition := range result.Table {
--- a/plugin/admission/occupancy.go
+++ b/plugin/admission/occupancy.go
@@ -11,7 +11,7 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// occupancy returns how busy the back end is and logs when overload begins or ends.
+// occupancy returns the load of the back end. It logs when overload begins or ends.
 func (a *admitter) occupancy(now time.Time) kernel.Occupancy {
 	state := a.controller.State(now)
 	level := state.Level
@@ -24,16 +24,16 @@
 	return kernel.Occupancy{Level: level, Load: load, Faults: a.faults.at(now)}
 }
 
-// reportedLoadAge is how long the load that the back end reported is believed. It comes
-// with every answer, so that an older one is of a back end that does not answer.
-const reportedLoadAge = 500 * time.Millisecond
+// maximumReportAge is the age up to which the load that the back end reported is used. Every
+// answer reports the load, so an older report means that the back end has stopped answering.
+const maximumReportAge = 500 * time.Millisecond
 
-// reportedLoad is the load that the back end reported, 0 when it has not lately. It
-// counts beside what this node has handed to it: a request that was given up may hold a
-// slot still.
+// reportedLoad returns the load that the back end reported, 0 if there is no recent report. It
+// can exceed the load that this node counts, since a request whose caller gave up may still
+// occupy a slot of the back end.
 func (a *admitter) reportedLoad(now time.Time) float64 {
 	reported := a.process.BackEndLoad.Load()
-	if reported == nil || now.Sub(reported.At) > reportedLoadAge {
+	if reported == nil || now.Sub(reported.At) > maximumReportAge {
 		return 0
 	}
 	return reported.Share()
--- a/plugin/admission/occupancy_test.go
+++ b/plugin/admission/occupancy_test.go
@@ -12,8 +12,8 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// TestLoadIsWhatRunsAndWaits as a share of the places, above 1 when requests wait.
-func TestLoadIsWhatRunsAndWaits(t *testing.T) {
+// TestLoadCountsRunningAndWaiting guards against a load that stays at 1 while requests wait.
+func TestLoadCountsRunningAndWaiting(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	a := &admitter{
@@ -24,13 +24,14 @@
 	for count, load := range []float64{0.25, 0.5, 0.75, 1, 1.25, 1.5} {
 		a.controller.Ask(now, admission.Request{Priority: admission.MaximumPriority}, func(admission.Verdict) {})
 		if got := a.occupancy(now).Load; got != load {
-			t.Errorf("%d requests are a load of %.2f, not %.2f", count+1, got, load)
+			t.Errorf("load with %d requests = %.2f, want %.2f", count+1, got, load)
 		}
 	}
 }
 
-// TestTheReportedLoadCounts beside what the node has handed over, while it is fresh.
-func TestTheReportedLoadCounts(t *testing.T) {
+// TestReportedLoad checks that the load that the back end reported counts if it is recent and
+// exceeds what the node has sent.
+func TestReportedLoad(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
 		name    string
@@ -38,8 +39,8 @@
 		age     time.Duration
 		want    float64
 	}{
-		{"more than was handed over", 3, 0, 0.75},
-		{"less than was handed over", 1, 0, 0.5},
+		{"more than the node sent", 3, 0, 0.75},
+		{"less than the node sent", 1, 0, 0.5},
 		{"old", 4, time.Minute, 0.5},
 	}
 	for _, c := range cases {
--- a/plugin/admission/setup.go
+++ b/plugin/admission/setup.go
@@ -1,7 +1,9 @@
-// Package admission lets requests wait for a slot beside the back end of a node, or
-// refuses them. Package admission at the root decides; this package owns the waiting
-// requests and the slots that are taken, tells the decisions the time, and reports how
-// busy the back end is.
+// Package admission admits requests to the back end of a node: a request gets one of the back
+// end's slots, waits for one, or is refused.
+//
+// The decisions are made by package admission at the root, which reads no clock. This package
+// passes it the time, owns the goroutines that wait and the slots in use, and reports the load
+// of the back end.
 package admission
 
 import (
--- a/plugin/admission/wait.go
+++ b/plugin/admission/wait.go
@@ -10,7 +10,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// admitter admits the requests of one node.
+// admitter admits requests to the back end of one node.
 type admitter struct {
 	process    *kernel.Process
 	controller *admission.Controller
@@ -21,9 +21,9 @@
 func (a *admitter) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		a.setBounds(call)
-		asked := time.Now()
+		queuedAt := time.Now()
 		ticket, err := a.wait(call)
-		call.Execution.NotePressure(admission.WaitPressure(time.Since(asked), call.Policy.QueueTime, err != nil))
+		call.Execution.NotePressure(admission.WaitPressure(time.Since(queuedAt), call.Policy.QueueTime, err != nil))
 		if err != nil {
 			return nil, err
 		}
@@ -31,70 +31,72 @@
 	})
 }
 
-// setBounds passes the settings of the service to the controller. A back end that tells
-// its slots needs no search for the limit.
+// setBounds passes the policy of the service to the controller. A back end that reports its
+// slots fixes the limit; otherwise the controller adapts the limit within the bounds.
 func (a *admitter) setBounds(call *kernel.Call) {
 	minimum, maximum := call.Policy.ConcurrencyMin, call.Policy.ConcurrencyMax
-	if slots := a.slots(); slots > 0 {
+	if slots := a.usableSlots(); slots > 0 {
 		minimum, maximum = slots, slots
 	}
 	a.controller.SetBounds(minimum, maximum, call.Policy.QueueTime)
 }
 
-// slots is the number of the back end's slots that are used, 0 when it does not tell its
-// slots.
-func (a *admitter) slots() int {
+// usableSlots returns how many of the back end's slots may be used, 0 if the back end does not
+// report its slots.
+func (a *admitter) usableSlots() int {
 	if a.process.BackEnd == nil {
 		return 0
 	}
 	return admission.UsableSlots(a.process.BackEnd.State().Slots)
 }
 
-// wait waits for a slot.
+// wait returns when the call has a slot or is refused.
 func (a *admitter) wait(call *kernel.Call) (*admission.Ticket, error) {
 	verdicts := make(chan admission.Verdict, 1)
 	request := admission.Request{
-		Priority:  call.Priority,
-		Deadline:  time.Now().Add(call.Deadline.Left()), // by the clock that measures work
+		Priority: call.Priority,
+		// The controller works by the monotonic clock of time.Now, unlike call.Deadline.
+		Deadline:  time.Now().Add(call.Deadline.Left()),
 		Committed: call.Committed(),
 		Patience:  admission.PatienceOf(call.Policy.TargetLatency),
 	}
 	ticket := a.controller.Ask(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
 	select {
 	case verdict := <-verdicts:
-		return ticket, refusal(verdict)
+		return ticket, verdictError(verdict)
 	default:
 		return a.waitQueued(call, ticket, verdicts)
 	}
 }
 
-// waitQueued waits for the verdict on a request in the queue. The controller has no clock:
-// it is told when a request has waited enough. A committed one may wait as long as it has
-// time, and is ended by its context.
+// waitQueued waits for the verdict on a queued request. The controller has no clock, so it is
+// called when requests may have exceeded their maximum queue time. A request that has upstream
+// work may wait until its deadline, which its context enforces.
 func (a *admitter) waitQueued(call *kernel.Call, ticket *admission.Ticket, verdicts <-chan admission.Verdict) (*admission.Ticket, error) {
-	waited := time.NewTimer(call.Policy.QueueTime)
-	defer waited.Stop()
+	timer := time.NewTimer(call.Policy.QueueTime)
+	defer timer.Stop()
 	if ticket.Committed {
-		waited.Stop()
+		timer.Stop()
 	}
 	for {
 		select {
 		case verdict := <-verdicts:
-			return ticket, refusal(verdict)
-		case <-waited.C:
+			return ticket, verdictError(verdict)
+		case <-timer.C:
 			a.controller.Expire(time.Now())
-			waited.Reset(expireAgain)
+			timer.Reset(expireInterval)
 		case <-call.Context.Done():
 			return nil, a.withdraw(call, ticket, verdicts)
 		}
 	}
 }
 
-// expireAgain is the time until the controller is told again: a request may wait longer
-// than the queue time of its policy (admission.Request.Patience).
-const expireAgain = 10 * time.Millisecond
+// expireInterval is the time between two calls of Expire for a request that waits longer than
+// the queue time of its policy (admission.Request.Patience).
+const expireInterval = 10 * time.Millisecond
 
-// withdraw gives up waiting. The slot may have become free at the same moment.
+// withdraw removes a request from the queue. If the request was admitted at the same moment, it
+// releases the slot.
 func (a *admitter) withdraw(call *kernel.Call, ticket *admission.Ticket, verdicts <-chan admission.Verdict) error {
 	if !a.controller.Withdraw(ticket) && <-verdicts == admission.Admitted {
 		a.controller.Done(time.Now(), ticket, admission.Outcome{})
@@ -105,7 +107,7 @@
 	return result.New(result.CallerGone, "the caller went away while waiting for a place")
 }
 
-func refusal(verdict admission.Verdict) error {
+func verdictError(verdict admission.Verdict) error {
 	switch verdict {
 	case admission.Admitted:
 		return nil
