--- a/plugin/retry/decision_test.go
+++ b/plugin/retry/decision_test.go
@@ -24,19 +24,20 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-var update = flag.Bool("update", false, "write testdata/decisions.txt anew")
+var update = flag.Bool("update", false, "rewrite testdata/decisions.txt")
 
 const decisionsFile = "testdata/decisions.txt"
 
-// situation is a call whose attempts end alike several times before one is answered.
+// situation is a set of conditions under which a call fails several times before it is answered.
 type situation struct {
-	name   string
-	shared bool // one retry budget for all processes
+	name string
+	// Whether all processes share one retry budget.
+	shared bool
 	change func(*kernel.Call, *settings.Settings)
 }
 
-// situations returns all pairings of the facts that any code depends on, and each
-// of the other facts by itself.
+// situations returns, for each kind of retry budget, all combinations of repeatable, claims and
+// committed, and each of the other conditions by itself.
 func situations() []situation {
 	list := []situation{}
 	for _, shared := range []bool{true, false} {
@@ -70,8 +71,8 @@
 	return list
 }
 
-// endings returns all ways in which an attempt can end, for calls whose attempts all
-// end alike.
+// endings returns every way in which an attempt can end, each as a call whose attempts all end
+// in that way.
 func endings() map[string][]attempt {
 	all := map[string][]attempt{}
 	for _, status := range []int{200, 404, 429, 500, 502, 503, 504} {
@@ -79,7 +80,7 @@
 	}
 	for _, definition := range result.Table {
 		all[definition.Name] = []attempt{failWith(definition.Code)}
-		all[definition.Name+" (ran)"] = []attempt{ranBefore(definition.Code)}
+		all[definition.Name+" (ran)"] = []attempt{failAfterRun(definition.Code)}
 	}
 	return all
 }
@@ -99,14 +100,14 @@
 	return all
 }
 
-// failingAttempts is the number of attempts that fail. Those beyond the listed ones
-// end as the last one.
+// failingAttempts is the number of attempts of a call that fail. If fewer endings are listed, the
+// last one is repeated.
 const failingAttempts = 4
 
-// play makes a call and tells what came after each attempt: "free" and "paid" for
-// another attempt at once, "pause" for one after a pause, and how the call ended.
-func (s situation) play(endings []attempt) string {
-	process := sharedProcess()
+// run makes a call and describes what followed each attempt ("free" or "paid" for an immediate
+// retry, "pause" for a retry after a pause) and how the call ended.
+func (s situation) run(endings []attempt) string {
+	process := newSharedProcess()
 	if !s.shared {
 		process = &kernel.Process{Settings: settings.Default(settings.RoleNode), Log: event.Discard()}
 	}
@@ -121,62 +122,62 @@
 	}
 	s.change(call, &process.Settings)
 	r := &retrier{process: process, limiter: newLimiter(process)}
-	told := []string{}
+	steps := []string{}
 	attempts, left := 0, call.Budget.Left()
 	handler := r.middleware(kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		attempts++
 		switch {
 		case attempts == 1:
 		case call.Tried == nil:
-			told = append(told, "pause")
+			steps = append(steps, "pause")
 		case call.Budget.Left() < left:
-			told = append(told, "paid")
+			steps = append(steps, "paid")
 		default:
-			told = append(told, "free")
+			steps = append(steps, "free")
 		}
 		call.Tried, left = append(call.Tried, "node"), call.Budget.Left()
 		if attempts > failingAttempts {
-			return answered(http.StatusOK), nil
+			return newAnswer(http.StatusOK), nil
 		}
 		ending := endings[min(attempts, len(endings))-1]
 		if ending.err != nil {
 			return nil, ending.err
 		}
-		return answered(ending.status), nil
+		return newAnswer(ending.status), nil
 	}))
 	answer, err := handler.Handle(call)
 	switch {
 	case err == nil:
-		told = append(told, fmt.Sprint(answer.StatusCode))
+		steps = append(steps, fmt.Sprint(answer.StatusCode))
 	case result.From(err).NotRun():
-		told = append(told, "error, not run")
+		steps = append(steps, "error, not run")
 	default:
-		told = append(told, "error")
+		steps = append(steps, "error")
 	}
 	if call.Repeat {
-		told = append(told, "marked as repeated")
+		steps = append(steps, "marked as repeated")
 	}
 	if call.Pressure > 0 {
-		told = append(told, fmt.Sprint("pressure ", call.Pressure))
+		steps = append(steps, fmt.Sprint("pressure ", call.Pressure))
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(steps, ", ")
 }
 
-func answered(status int) *kernel.Answer {
+func newAnswer(status int) *kernel.Answer {
 	return &kernel.Answer{Response: &http.Response{StatusCode: status, Body: http.NoBody, Header: http.Header{}}}
 }
 
-// TestDecisions plays every ending in every situation and compares with what is
-// written down: which codes are sent again at once, free or paid for, or after a pause.
+// TestDecisions guards against unintended changes of the retry decisions: it runs every ending
+// in every situation and compares the result with testdata/decisions.txt.
 func TestDecisions(t *testing.T) {
 	is := is.New(t)
 	var page strings.Builder
 	for _, s := range situations() {
-		outcomes := s.playAll(endings())
+		outcomes := s.runAll(endings())
 		write(&page, s.name, outcomes)
 	}
 	usual := situation{"", true, func(*kernel.Call, *settings.Settings) {}}
-	write(&page, "shared budget, three attempts that end in different ways", usual.playAll(sequences()))
+	write(&page, "shared budget, three attempts that end in different ways", usual.runAll(sequences()))
 	if *update {
 		is.NoErr(os.WriteFile(decisionsFile, []byte(page.String()), 0o644))
 	}
@@ -192,15 +193,15 @@
 	}
 }
 
-// playAll returns the endings by what they lead to. They are played at once, since
-// some pause.
-func (s situation) playAll(endings map[string][]attempt) map[string][]string {
+// runAll runs a call for each of the endings and returns the names of the endings by outcome.
+// The calls run concurrently, since some of them pause.
+func (s situation) runAll(endings map[string][]attempt) map[string][]string {
 	var mutex sync.Mutex
 	var group sync.WaitGroup
 	outcomes := map[string][]string{}
 	for name, ending := range endings {
 		group.Go(func() {
-			outcome := s.play(ending)
+			outcome := s.run(ending)
 			mutex.Lock()
 			defer mutex.Unlock()
 			outcomes[outcome] = append(outcomes[outcome], name)
--- a/plugin/retry/limiter.go
+++ b/plugin/retry/limiter.go
@@ -11,12 +11,12 @@
 
 // limiter holds the retry budgets of one process.
 type limiter interface {
-	// begin records a new call.
-	begin(call *kernel.Call)
-	// pay takes one retry of a call from the budgets and reports whether they had one.
-	pay(call *kernel.Call) bool
-	// shared reports whether the budget is that of all processes together, as
-	// retry.Situation.SharedBudget.
+	// recordCall records a new call, which may add to the budgets.
+	recordCall(call *kernel.Call)
+	// takeRetry takes one retry of a call from the budgets and reports whether there was one.
+	takeRetry(call *kernel.Call) bool
+	// shared reports whether one budget bounds the retries of all processes together
+	// (retry.Situation.SharedBudget).
 	shared() bool
 }
 
@@ -32,21 +32,22 @@
 	}
 }
 
-// ratioLimiter bounds repeated attempts by the budget of the user request and by
-// a share of the calls that this process makes to the service.
+// ratioLimiter bounds retries by the budget of the user request and by a share of the calls
+// that this process makes to the service.
 type ratioLimiter struct {
-	mutex  sync.Mutex
-	ratios map[string]*retrybudget.Ratio // by service
+	mutex sync.Mutex
+	// Token buckets by service.
+	ratios map[string]*retrybudget.Ratio
 }
 
-func (l *ratioLimiter) begin(call *kernel.Call) {
+func (l *ratioLimiter) recordCall(call *kernel.Call) {
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ratio(call, now).Call(now, call.Policy.RetryRatio)
 }
 
-func (l *ratioLimiter) pay(call *kernel.Call) bool {
+func (l *ratioLimiter) takeRetry(call *kernel.Call) bool {
 	if !call.Budget.Spend() {
 		return false
 	}
@@ -58,7 +59,7 @@
 
 func (l *ratioLimiter) shared() bool { return false }
 
-// ratio returns the bucket of the call's service. The mutex is held.
+// ratio returns the token bucket of the call's service. The caller holds the mutex.
 func (l *ratioLimiter) ratio(call *kernel.Call, now time.Time) *retrybudget.Ratio {
 	bucket, exists := l.ratios[call.Service]
 	if !exists {
@@ -68,21 +69,22 @@
 	return bucket
 }
 
-// sharedLimiter bounds what arrives at the back ends of a service over the whole
-// mesh.
+// sharedLimiter bounds the repeated attempts that arrive at the back ends of a service from all
+// processes of the mesh together.
 type sharedLimiter struct {
 	process *kernel.Process
 	config  retrybudget.SharedConfig
 	mutex   sync.Mutex
-	budgets map[string]*retrybudget.Shared // by service
+	// Budgets by service.
+	budgets map[string]*retrybudget.Shared
 }
 
-// leastSharing is the number of processes that are taken to share the slack of the
-// budget while membership shows fewer, as in a process that is cut off. It holds at all
-// times, unlike the number that plug-in quota assumes while it has just started.
-const leastSharing = 16
+// minimumProcesses is the lowest number of processes among which the slack of the budget is
+// divided. A process that is cut off sees fewer members than share the slack. Unlike
+// processesAtStart of plug-in quota, it applies for as long as the process runs.
+const minimumProcesses = 16
 
-func (l *sharedLimiter) begin(call *kernel.Call) {
+func (l *sharedLimiter) recordCall(call *kernel.Call) {
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -93,7 +95,7 @@
 	}
 }
 
-func (l *sharedLimiter) pay(call *kernel.Call) bool {
+func (l *sharedLimiter) takeRetry(call *kernel.Call) bool {
 	if !call.Budget.Spend() {
 		return false
 	}
@@ -107,17 +109,17 @@
 
 func (l *sharedLimiter) shared() bool { return true }
 
-// spend takes one repeated attempt from the budget of the call's service.
+// spend takes one retry from the budget of the call's service.
 func (l *sharedLimiter) spend(call *kernel.Call) bool {
 	now := time.Now()
-	processes := max(len(*l.process.Members.Load()), leastSharing)
+	processes := max(len(*l.process.Members.Load()), minimumProcesses)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	rank := float64(call.Priority) / admission.MaximumPriority
 	return l.budget(call).Spend(now, processes, rank)
 }
 
-// budget returns the budget of the call's service. The mutex is held.
+// budget returns the budget of the call's service. The caller holds the mutex.
 func (l *sharedLimiter) budget(call *kernel.Call) *retrybudget.Shared {
 	budget, exists := l.budgets[call.Service]
 	if !exists {
--- a/plugin/retry/limiter_test.go
+++ b/plugin/retry/limiter_test.go
@@ -19,8 +19,9 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// sharedProcess bounds repeated attempts over the whole mesh and has no claims.
-func sharedProcess() *kernel.Process {
+// newSharedProcess returns a process that shares one retry budget with the whole mesh and has no
+// claims.
+func newSharedProcess() *kernel.Process {
 	s := settings.Default(settings.RoleNode)
 	s.Claims = false
 	s.RetryBudget = settings.RetryBudget{Ratio: 0.2, Slack: 55, Window: settings.Duration(10 * time.Second)}
@@ -37,22 +38,23 @@
 		budget     int
 		attempts   []attempt
 		made       int
-		repeat     bool // of the last attempt
+		// Whether the last attempt is marked as repeated.
+		repeat bool
 	}{
-		{"refusals beside a back end cost no budget", false, 0, []attempt{unreachable, failWith(result.Overloaded), ok}, 3, false},
-		{"but they are bounded", false, 0, []attempt{unreachable, unreachable, unreachable, ok}, 3, false},
-		{"what arrived at a back end costs budget", true, 1, []attempt{failWith(result.BackendRefused), ok}, 2, true},
-		{"and is final without it", true, 0, []attempt{failWith(result.BackendRefused), ok}, 1, false},
-		{"a lost connection, repeatable", true, 1, []attempt{failWith(result.ConnectionLost), ok}, 2, true},
-		{"a lost connection, not repeatable", false, 1, []attempt{failWith(result.ConnectionLost), ok}, 1, false},
+		{"refusal by a node costs no budget", false, 0, []attempt{unreachable, failWith(result.Overloaded), ok}, 3, false},
+		{"refusals by nodes are bounded", false, 0, []attempt{unreachable, unreachable, unreachable, ok}, 3, false},
+		{"refusal by the back end costs budget", true, 1, []attempt{failWith(result.BackendRefused), ok}, 2, true},
+		{"refusal by the back end without budget is final", true, 0, []attempt{failWith(result.BackendRefused), ok}, 1, false},
+		{"lost connection, repeatable", true, 1, []attempt{failWith(result.ConnectionLost), ok}, 2, true},
+		{"lost connection, not repeatable", false, 1, []attempt{failWith(result.ConnectionLost), ok}, 1, false},
 		{"no answer in time, not repeatable", false, 1, []attempt{failWith(result.DeadlineExceeded), ok}, 1, false},
-		{"another answer, not repeatable", false, 1, []attempt{failWith(result.AnswerMismatch), ok}, 1, false},
-		{"a back end that failed, not repeatable", false, 1, []attempt{answerWith(503), ok}, 1, false},
+		{"answer to another request, not repeatable", false, 1, []attempt{failWith(result.AnswerMismatch), ok}, 1, false},
+		{"failed back end, not repeatable", false, 1, []attempt{answerWith(503), ok}, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			process := sharedProcess()
+			process := newSharedProcess()
 			r := &retrier{process: process, limiter: newLimiter(process)}
 			made, repeat := 0, false
 			handler := r.middleware(kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
@@ -78,19 +80,19 @@
 	}
 }
 
-// TestAttemptsOfACallAreBoundedByItsRoute whatever budget is left: the budget is
-// that of the whole user request, the attempts are those of one call.
-func TestAttemptsOfACallAreBoundedByItsRoute(t *testing.T) {
+// TestRouteBoundsAttempts guards against a call that makes more attempts than its route allows
+// because its user request has retries left.
+func TestRouteBoundsAttempts(t *testing.T) {
 	is := is.New(t)
-	process := sharedProcess()
+	process := newSharedProcess()
 	r := &retrier{process: process, limiter: newLimiter(process)}
 	made := 0
 	handler := r.middleware(kernel.HandlerFunc(func(*kernel.Call) (*kernel.Answer, error) {
 		made++
 		if made == 1 {
-			return nil, result.New(result.Overloaded, "test") // it did not arrive
+			return nil, result.New(result.Overloaded, "test") // does not count as an attempt of the route
 		}
-		return answered(http.StatusServiceUnavailable), nil
+		return newAnswer(http.StatusServiceUnavailable), nil
 	}))
 	call := &kernel.Call{
 		Context: context.Background(), Service: "s", Body: kernel.NewBufferedBody(nil), Budget: retrybudget.Open(8),
@@ -102,36 +104,36 @@
 	is.Equal(call.Budget.Left(), 7)
 }
 
-// TestTheCommonBudgetIsNotSpentOnNothing: a call whose user request has no retries
-// left takes none from the others, and one that the others leave none keeps its own.
-func TestTheCommonBudgetIsNotSpentOnNothing(t *testing.T) {
+// TestRefusedRetryCostsNothing guards against charging one of the two budgets, shared and user
+// request, when the other one refuses the retry.
+func TestRefusedRetryCostsNothing(t *testing.T) {
 	is := is.New(t)
-	l := newLimiter(sharedProcess())
+	l := newLimiter(newSharedProcess())
 	for range 100 {
-		is.True(!l.pay(&kernel.Call{Service: "s", Budget: retrybudget.Open(0)}))
+		is.True(!l.takeRetry(&kernel.Call{Service: "s", Budget: retrybudget.Open(0)}))
 	}
 	spent := 0
 	for range 100 {
 		call := &kernel.Call{Service: "s", Budget: retrybudget.Open(1), Priority: admission.MaximumPriority}
-		if l.pay(call) {
+		if l.takeRetry(call) {
 			spent++
 		} else {
 			is.Equal(call.Budget.Left(), 1)
 		}
 	}
-	is.Equal(spent, 3) // 55 for 16 processes
+	is.Equal(spent, 3) // this process's part of a slack of 55 for 16 processes
 }
 
-// TestCallsOfRepeatedRunsCount: what a repeated run calls again is paid by the
-// same budget, without being asked for.
-func TestCallsOfRepeatedRunsCount(t *testing.T) {
+// TestRepeatedCallsUseSharedBudget checks that calls of a repeated execution use up the shared
+// budget, although they aren't retries themselves.
+func TestRepeatedCallsUseSharedBudget(t *testing.T) {
 	is := is.New(t)
-	process := sharedProcess()
+	process := newSharedProcess()
 	l := newLimiter(process)
 	call := &kernel.Call{Service: "s", Budget: retrybudget.Open(1), Repeat: true}
 	for range 10 {
-		l.begin(call) // ten repeated arrivals, more than the budget has
+		l.recordCall(call) // ten repeated calls exceed the budget
 	}
-	is.True(!l.pay(&kernel.Call{Service: "s", Budget: retrybudget.Open(1)}))
-	is.True(l.pay(&kernel.Call{Service: "other", Budget: retrybudget.Open(1)}))
+	is.True(!l.takeRetry(&kernel.Call{Service: "s", Budget: retrybudget.Open(1)}))
+	is.True(l.takeRetry(&kernel.Call{Service: "other", Budget: retrybudget.Open(1)}))
 }
--- a/plugin/retry/retrier.go
+++ b/plugin/retry/retrier.go
@@ -9,7 +9,7 @@
 	"github.com/loomcleat/loomcleat/retry"
 )
 
-// retrier makes the attempts of the calls of one process.
+// retrier makes the attempts of all calls of one process.
 type retrier struct {
 	process *kernel.Process
 	limiter limiter
@@ -17,13 +17,13 @@
 
 func (r *retrier) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
-		r.limiter.begin(call)
+		r.limiter.recordCall(call)
 		return r.handle(next, call)
 	})
 }
 
-// handle makes attempts until one is final. Attempts that nodes refuse come in rounds of
-// offers, with a pause between two of them.
+// handle makes attempts until the outcome is final. A retry follows at once, or after a pause that
+// begins a new round of offers to nodes.
 func (r *retrier) handle(next kernel.Handler, call *kernel.Call) (*kernel.Answer, error) {
 	situation := retry.Situation{
 		Repeatable:      call.Policy.Repeatable,
@@ -32,23 +32,23 @@
 		SharedBudget:    r.limiter.shared(),
 		MaximumArrivals: call.Policy.MaximumAttempts,
 	}
-	ran := false // an attempt may have run
+	mayHaveRun := false
 	for {
 		answer, err := next.Handle(call)
-		note(&situation, call, answer, err)
-		ran = ran || err == nil || !situation.Err.NotRun()
+		recordAttempt(&situation, call, answer, err)
+		mayHaveRun = mayHaveRun || err == nil || !situation.Err.NotRun()
 		decision := retry.Decide(situation)
 		if decision.Arrived {
 			situation.Arrivals++
 		}
 		switch {
-		case decision.Send && (!decision.Paid || r.limiter.pay(call)):
+		case decision.Send && (!decision.Paid || r.limiter.takeRetry(call)):
 		case decision.Pause:
 			kernel.Pause(call.Context, retry.AbsencePause)
 			situation.Offers, situation.Absent, call.Tried = 0, false, nil
 		default:
-			notePressure(call, err)
-			return answer, withRan(err, ran)
+			recordPressure(call, err)
+			return answer, markRan(err, mayHaveRun)
 		}
 		if answer != nil {
 			discard(answer)
@@ -58,8 +58,8 @@
 	}
 }
 
-// note takes the end of an attempt.
-func note(s *retry.Situation, call *kernel.Call, answer *kernel.Answer, err error) {
+// recordAttempt updates the situation of a call with the outcome of an attempt.
+func recordAttempt(s *retry.Situation, call *kernel.Call, answer *kernel.Answer, err error) {
 	s.Offers++
 	s.Sendable = call.Body.Replayable() && call.Context.Err() == nil
 	s.Left = call.Deadline.Left()
@@ -72,17 +72,17 @@
 	s.Absent = s.Absent || s.Err.Code.Conclusion().Absent
 }
 
-// notePressure records that the back end turned the call away, with no attempt left.
-func notePressure(call *kernel.Call, err error) {
+// recordPressure records pressure for a call whose last attempt the back end refused.
+func recordPressure(call *kernel.Call, err error) {
 	if err != nil && result.From(err).Code.Conclusion().ByBackEnd {
 		call.NotePressure(admission.RefusedPressure)
 	}
 }
 
-// withRan marks the error of a request of which an attempt may have run, so
-// that it is not reported as not run.
-func withRan(err error, ran bool) error {
-	if err == nil || !ran {
+// markRan marks the error of a call if one of its attempts may have run. The last attempt alone
+// might be reported as not run.
+func markRan(err error, mayHaveRun bool) error {
+	if err == nil || !mayHaveRun {
 		return err
 	}
 	typed := *result.From(err)
@@ -90,12 +90,12 @@
 	return &typed
 }
 
-// discardLimit is how much of an answer is read so that its connection can be
-// used again, in bytes.
+// discardLimit bounds how much of an answer is read so that its connection can be reused, in
+// bytes.
 const discardLimit = 64 << 10
 
-// discard reads the rest of an answer that is not passed on. An error only costs the
-// connection, which is then closed.
+// discard reads the rest of an answer that is not passed on. Errors are ignored: they only
+// prevent the connection from being reused.
 func discard(answer *kernel.Answer) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, discardLimit))
 	_ = answer.Body.Close()
--- a/plugin/retry/retry_test.go
+++ b/plugin/retry/retry_test.go
@@ -19,7 +19,7 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// attempt is how one attempt ends: with a status, or with an error.
+// attempt is the outcome of one attempt: a status or an error.
 type attempt struct {
 	status int
 	err    error
@@ -29,7 +29,7 @@
 
 func failWith(code result.Code) attempt { return attempt{err: result.New(code, "test")} }
 
-func ranBefore(code result.Code) attempt {
+func failAfterRun(code result.Code) attempt {
 	return attempt{err: &result.Error{Code: code, Ran: true}}
 }
 
@@ -39,27 +39,31 @@
 		name       string
 		repeatable bool
 		budget     int
-		attempts   []attempt // as they would come
-		made       int       // attempts that are made
-		status     int       // of the answer in the end, 0 for an error
-		notRun     bool      // the error in the end is reported as not run
+		// Outcomes of the attempts, in order, more than are expected to be made.
+		attempts []attempt
+		// Number of attempts expected.
+		made int
+		// Status of the final answer, 0 for an error.
+		status int
+		// Whether the final error is reported as not run.
+		notRun bool
 	}{
 		{"success", true, 3, []attempt{ok}, 1, 200, false},
 		{"refused by one node", false, 3, []attempt{failWith(result.Overloaded), ok}, 2, 200, false},
 		{"stopping node", false, 3, []attempt{failWith(result.Draining), ok}, 2, 200, false},
 		{"no connection", false, 3, []attempt{failWith(result.NodeRefused), ok}, 2, 200, false},
 		{"no budget", true, 0, []attempt{failWith(result.Overloaded), ok}, 1, 0, true},
-		{"the budget ends", true, 2, []attempt{failWith(result.Overloaded), failWith(result.Overloaded), failWith(result.Overloaded), ok}, 3, 0, true},
-		{"shed early is final", true, 3, []attempt{failWith(result.ShedEarly), ok}, 1, 0, true},
-		{"too little time left for one back end", true, 3, []attempt{failWith(result.DeadlineTooShort), ok}, 2, 200, false},
+		{"budget used up", true, 2, []attempt{failWith(result.Overloaded), failWith(result.Overloaded), failWith(result.Overloaded), ok}, 3, 0, true},
+		{"shed early", true, 3, []attempt{failWith(result.ShedEarly), ok}, 1, 0, true},
+		{"too little time left for one node", true, 3, []attempt{failWith(result.DeadlineTooShort), ok}, 2, 200, false},
 		{"lost connection, repeatable", true, 3, []attempt{failWith(result.ConnectionLost), ok}, 2, 200, false},
 		{"lost connection, claimed", false, 3, []attempt{failWith(result.ConnectionLost), ok}, 2, 200, false},
-		{"the first run is not known", false, 3, []attempt{failWith(result.AlreadyClaimed), ok}, 1, 0, false},
-		{"back end is overloaded, repeatable", true, 3, []attempt{answerWith(503), ok}, 2, 200, false},
-		{"back end is overloaded, not repeatable", false, 3, []attempt{answerWith(503), ok}, 1, 503, false},
+		{"outcome of the first run unknown", false, 3, []attempt{failWith(result.AlreadyClaimed), ok}, 1, 0, false},
+		{"overloaded back end, repeatable", true, 3, []attempt{answerWith(503), ok}, 2, 200, false},
+		{"overloaded back end, not repeatable", false, 3, []attempt{answerWith(503), ok}, 1, 503, false},
 		{"back end fails", true, 3, []attempt{answerWith(500), ok}, 1, 500, false},
 		{"refused after a lost connection", true, 1, []attempt{failWith(result.ConnectionLost), failWith(result.Overloaded)}, 2, 0, false},
-		{"refused, but a node tried before", false, 0, []attempt{ranBefore(result.Overloaded)}, 1, 0, false},
+		{"refused after an earlier run", false, 0, []attempt{failAfterRun(result.Overloaded)}, 1, 0, false},
 		{"caller cancelled", true, 3, []attempt{failWith(result.CallerCancelled), ok}, 1, 0, false},
 	}
 	for _, c := range cases {
@@ -97,11 +101,9 @@
 	}
 }
 
-// TestACommittedCallWaitsForANodeThatIsBack: all nodes refuse it while one of them is
-// started again. Others have worked for its user request, so it waits as long as it has
-// time; a request that has cost nothing yet is refused at once, and so is one for which
-// all nodes are there and full.
-func TestACommittedCallWaitsForANodeThatIsBack(t *testing.T) {
+// TestCallWithUpstreamWorkWaitsForAbsentNode guards against failing a call that has upstream work
+// while a node restarts. A call without upstream work is refused at once, as when nodes are full.
+func TestCallWithUpstreamWorkWaitsForAbsentNode(t *testing.T) {
 	cases := []struct {
 		name   string
 		hops   int
@@ -109,16 +111,16 @@
 		code   result.Code
 		served bool
 	}{
-		{"committed", 1, time.Minute, result.NodeRefused, true},
-		{"no node is known", 1, time.Minute, result.NoNode, true},
-		{"not committed", 0, time.Minute, result.NodeRefused, false},
-		{"no time", 1, retry.AbsencePause, result.NodeRefused, false},
-		{"all are full", 1, time.Minute, result.Overloaded, false},
+		{"upstream work", 1, time.Minute, result.NodeRefused, true},
+		{"no node known", 1, time.Minute, result.NoNode, true},
+		{"no upstream work", 0, time.Minute, result.NodeRefused, false},
+		{"no time for a pause", 1, retry.AbsencePause, result.NodeRefused, false},
+		{"all nodes full", 1, time.Minute, result.Overloaded, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			process := sharedProcess()
+			process := newSharedProcess()
 			r := &retrier{process: process, limiter: newLimiter(process)}
 			made := 0
 			handler := r.middleware(kernel.HandlerFunc(func(*kernel.Call) (*kernel.Answer, error) {
@@ -140,9 +142,9 @@
 	}
 }
 
-// TestNoCallWaitsWhereOffersArePaidFor: the retries of a user request are bounded over its
-// whole call graph there, and rounds of offers would come on top of them.
-func TestNoCallWaitsWhereOffersArePaidFor(t *testing.T) {
+// TestNoPauseWithoutSharedBudget guards against rounds of offers beyond the retry budget of the
+// user request.
+func TestNoPauseWithoutSharedBudget(t *testing.T) {
 	is := is.New(t)
 	process := &kernel.Process{Settings: settings.Default(settings.RoleNode), Log: event.Discard()}
 	r := &retrier{process: process, limiter: newLimiter(process)}
@@ -160,32 +162,25 @@
 	is.True(made <= 1+budget)
 }
 
-// Symptom: a call arrived at back ends more often than its route and its retry budget allow.
-//
-// Sequence: a committed call meets a node that is not there, then a back end that refuses it.
-// No retry is left. The call pauses, as for the node that was not there, and is sent again.
-//
-// Cause: whether a call may pause was decided by the absence alone. The attempt after the
-// pause was neither paid for nor counted, although one had arrived at a back end.
-//
-// Log: attempt-repeated with code 2012 (backend-refused) for a call without retries.
-func TestAPauseDoesNotReplaceAPaidRetry(t *testing.T) {
+// TestPauseDoesNotReplacePaidRetry guards against sending a call again after a pause, free of
+// charge, when a back end has refused it and no retry is left.
+func TestPauseDoesNotReplacePaidRetry(t *testing.T) {
 	is := is.New(t)
-	process := sharedProcess()
+	process := newSharedProcess()
 	r := &retrier{process: process, limiter: newLimiter(process)}
-	ends := []result.Code{result.NodeRefused, result.BackendRefused}
+	codes := []result.Code{result.NodeRefused, result.BackendRefused}
 	attempts := 0
 	handler := r.middleware(kernel.HandlerFunc(func(*kernel.Call) (*kernel.Answer, error) {
 		attempts++
-		if attempts <= len(ends) {
-			return nil, result.New(ends[attempts-1], "test")
+		if attempts <= len(codes) {
+			return nil, result.New(codes[attempts-1], "test")
 		}
-		return answered(http.StatusOK), nil
+		return newAnswer(http.StatusOK), nil
 	}))
 	_, err := handler.Handle(&kernel.Call{
 		Context: context.Background(), Service: "s", Body: kernel.NewBufferedBody(nil), Budget: retrybudget.Open(0),
 		Deadline: clock.Now().Add(time.Minute), Hops: 1, Policy: policy.Effective{Repeatable: true, MaximumAttempts: 1},
 	})
-	is.Equal(attempts, len(ends))
+	is.Equal(attempts, len(codes))
 	is.Equal(result.From(err).Code, result.BackendRefused)
 }
--- a/plugin/retry/setup.go
+++ b/plugin/retry/setup.go
@@ -1,6 +1,8 @@
-// Package retry sends calls again within the retry budgets. Package retry at the root
-// decides when; this package makes the attempts, waits between rounds of offers and pays
-// for retries. It relies on package retrybudget for what is left to spend.
+// Package retry retries calls within the retry budgets. Package retry at the root decides when
+// to retry; this package makes the attempts, pauses between rounds of attempts and charges
+// retries to the budgets.
+//
+// It owns the retry budgets of this process, which package retrybudget implements.
 package retry
 
 import "github.com/loomcleat/loomcleat/kernel"
