--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -14,27 +14,28 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// read takes the report out of a node's answer. Refusals of the node become
-// errors again.
+// read processes and removes the report in a node's answer. It returns a refusal by the node as
+// the error that the node sent.
 func (a *attempt) read(response *http.Response) (*kernel.Answer, error) {
 	report := wire.ReadReport(response.Header)
 	if report.Attempt != a.call.Attempt {
-		_ = response.Body.Close() // unread, so that the connection is closed
+		_ = response.Body.Close() // unread, which also closes the connection
 		a.router.process.Log.Emit(event.AnswerMismatch, "node", a.target.ID)
 		return nil, result.New(result.AnswerMismatch, "node %s answered another request", a.target.ID)
 	}
-	a.learn(&report)
-	a.call.Budget.Repay(a.loan, report.Unspent)
+	a.recordReport(&report)
+	a.call.Budget.Repay(a.delegated, report.Unspent)
 	if response.Header.Get(result.HeaderCode) != "" {
 		defer response.Body.Close()
-		return nil, refusalOf(response)
+		return nil, readRefusal(response)
 	}
 	wire.RemoveInternal(response.Header)
 	return &kernel.Answer{Response: response, Inherited: report.Inherited}, nil
 }
 
-// learn takes what a node reports of itself and of the services that it called.
-func (a *attempt) learn(report *wire.Report) {
+// recordReport records what a node reports about itself and about the services that its back end
+// called.
+func (a *attempt) recordReport(report *wire.Report) {
 	now := time.Now()
 	node, path := a.target.ID, a.call.Policy.Path
 	a.call.NotePressure(report.Pressure)
@@ -44,13 +45,11 @@
 	a.balancer.SetFaults(now, node, report.Faults)
 	a.balancer.SetLevel(now, node, path, report.Level)
 	if report.Level > 0 {
-		noteLevel(a.call, a.balancer.Level(now, path))
+		recordLevel(a.call, a.balancer.Level(now, path))
 	}
 }
 
-// intHeader returns the number in a header, 0 when there is none. Nodes send whole numbers
-// or leave the header out; one that can't be read is taken for left out, as by an unknown
-// result code, which becomes Internal.
+// intHeader returns the integer in a header, 0 if the header is missing or malformed.
 func intHeader(header http.Header, name string) int {
 	value, err := strconv.Atoi(header.Get(name))
 	if err != nil {
@@ -59,17 +58,17 @@
 	return value
 }
 
-// maximumRefusal bounds the body of a refusal, in bytes.
-const maximumRefusal = 8 << 10
+// maximumRefusalBody bounds how much of the body of a refusal is read, in bytes.
+const maximumRefusalBody = 8 << 10
 
-// refusalOf turns the answer of a node that refused into the error it was.
-func refusalOf(response *http.Response) error {
+// readRefusal decodes the error in a refusal by a node. An unknown result code becomes Internal.
+func readRefusal(response *http.Response) error {
 	code := result.Code(intHeader(response.Header, result.HeaderCode))
 	if !code.Known() {
 		code = result.Internal
 	}
 	var body result.Body
-	data, err := io.ReadAll(io.LimitReader(response.Body, maximumRefusal))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maximumRefusalBody))
 	if err == nil {
 		err = json.Unmarshal(data, &body)
 	}
@@ -85,23 +84,22 @@
 // attemptBody ends the attempt at the end of the body.
 type attemptBody struct {
 	io.ReadCloser
-	end   func(balance.Outcome)
-	whole balance.Outcome // when the body comes to its end
-	ended bool
+	end func(balance.Outcome)
+	// Outcome if the body is read to its end.
+	completeOutcome balance.Outcome
+	ended           bool
 }
 
-// Read implements io.Reader.
 func (b *attemptBody) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err == io.EOF {
-		b.endOnce(b.whole)
+		b.endOnce(b.completeOutcome)
 	} else if err != nil {
 		b.endOnce(balance.Failed)
 	}
 	return n, err
 }
 
-// Close implements io.Closer.
 func (b *attemptBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.endOnce(balance.Unknown)
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -13,15 +13,16 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// attempt is one sending of a call to a node.
+// attempt is one attempt of a call, sent to one node.
 type attempt struct {
 	router   *router
 	call     *kernel.Call
 	balancer *balance.Balancer
 	target   balance.Target
 	started  time.Time
-	loan     int // retries lent to the node
-	cancel   context.CancelCauseFunc
+	// Retries delegated to the node.
+	delegated int
+	cancel    context.CancelCauseFunc
 }
 
 // attempt sends the call to one node.
@@ -29,7 +30,7 @@
 	a := &attempt{router: r, call: call, balancer: balancer, target: target, started: time.Now()}
 	response, err := a.send()
 	if err != nil {
-		a.noteUnanswered(result.From(err))
+		a.recordUnanswered(result.From(err))
 		a.end(outcomeOf(call, err))
 		return nil, err
 	}
@@ -38,14 +39,14 @@
 		a.end(outcomeOf(call, err))
 		return nil, err
 	}
-	answer.Body = &attemptBody{ReadCloser: answer.Body, end: a.end, whole: outcomeOfAnswer(answer)}
+	answer.Body = &attemptBody{ReadCloser: answer.Body, end: a.end, completeOutcome: outcomeOfAnswer(answer)}
 	return answer, nil
 }
 
 // send sends the call and waits for the header of the answer.
 func (a *attempt) send() (*http.Response, error) {
 	a.call.Attempt = a.router.process.NewIdentity()
-	a.loan = a.call.Budget.Lend()
+	a.delegated = a.call.Budget.Lend()
 	header := a.header()
 	if a.call.Execution != nil {
 		a.call.Execution.BeginChild(a.started)
@@ -53,12 +54,12 @@
 	ctx, cancel := context.WithCancelCause(a.call.Context)
 	a.cancel = cancel
 	stopTimeout := a.startTimeout()
-	defer stopTimeout() // the rest of the answer may take as long as the deadline allows
+	defer stopTimeout() // the body may take as long as the deadline allows
 	return a.router.transmitter.Send(ctx, a.call, a.target.Address, header)
 }
 
-// startTimeout ends the attempt when its answer does not begin in time (retry.Timeout),
-// until stop is called.
+// startTimeout starts a timer that ends the attempt if its answer does not begin in time
+// (retry.Timeout). stop stops the timer.
 func (a *attempt) startTimeout() (stop func()) {
 	call := a.call
 	limit, bounded := retry.Timeout(retry.Attempt{
@@ -75,17 +76,17 @@
 	return func() { timer.Stop() }
 }
 
-// noteUnanswered takes the end of an attempt that no node has answered.
-func (a *attempt) noteUnanswered(err *result.Error) {
+// recordUnanswered records the end of an attempt that got no answer.
+func (a *attempt) recordUnanswered(err *result.Error) {
 	if err.NotRun() {
-		a.call.Budget.Repay(a.loan, a.loan) // the loan never left this process
+		a.call.Budget.Repay(a.delegated, a.delegated) // the node never received them
 	}
 	if err.Code == result.DeadlineExceeded {
 		a.call.NotePressure(admission.TimeoutPressure)
 	}
 }
 
-// end ends the attempt, whose outcome counts for or against its node.
+// end ends the attempt and reports its outcome to the balancer.
 func (a *attempt) end(outcome balance.Outcome) {
 	a.cancel(nil)
 	now := time.Now()
@@ -95,23 +96,23 @@
 	}
 }
 
-// header builds the headers of the attempt.
+// header returns the header of the attempt: that of the call with the call context.
 func (a *attempt) header() http.Header {
 	call, process := a.call, a.router.process
-	sent := wire.CallContext{
+	callContext := wire.CallContext{
 		Service:   call.Service,
 		Request:   call.Request,
 		Attempt:   call.Attempt,
 		Priority:  call.Priority,
 		Remaining: call.Deadline.Left(),
-		Budget:    a.loan,
+		Budget:    a.delegated,
 		Hops:      call.Hops,
 		Target:    call.Policy.TargetLatency,
 		Repeat:    call.Repeat,
 	}
-	process.WriteContext(call, &sent)
+	process.WriteContext(call, &callContext)
 	header := call.Header.Clone()
-	delete(header, process.Dialect.Remaining) // the node sets it anew for its back end
-	sent.Write(header)
+	delete(header, process.Dialect.Remaining) // the node sets its own value for the back end
+	callContext.Write(header)
 	return header
 }
--- a/plugin/routing/outcome.go
+++ b/plugin/routing/outcome.go
@@ -8,8 +8,8 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// outcomeOf decides whether a failed attempt speaks against the node, be it seen
-// here or told by the node.
+// outcomeOf returns how a failed attempt counts for its node. The error is either an own
+// observation, for example a broken connection, or a refusal that the node sent.
 func outcomeOf(call *kernel.Call, err error) balance.Outcome {
 	if call.Context.Err() == context.Canceled {
 		return balance.Unknown
@@ -26,7 +26,7 @@
 	}
 }
 
-// outcomeOfAnswer is the outcome of a whole answer of a back end.
+// outcomeOfAnswer returns the outcome of an attempt with a complete answer of the back end.
 func outcomeOfAnswer(answer *kernel.Answer) balance.Outcome {
 	if answer.Failed() && !answer.Inherited {
 		return balance.Faulty
--- a/plugin/routing/outcome_test.go
+++ b/plugin/routing/outcome_test.go
@@ -11,9 +11,9 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// TestOutcomeOfEachCode: what ends for a reason of the request or its caller says
-// nothing about the node; no connection is a failure, also when nothing ran.
-func TestOutcomeOfEachCode(t *testing.T) {
+// TestOutcomeOf guards against blaming a node for errors that the request or its caller caused. A
+// refused connection is a failure of the node although the request did not run.
+func TestOutcomeOf(t *testing.T) {
 	is := is.New(t)
 	exceptions := map[result.Code]balance.Outcome{
 		result.CallerGone:         balance.Unknown,
--- a/plugin/routing/route.go
+++ b/plugin/routing/route.go
@@ -8,7 +8,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// handle makes one attempt.
+// handle makes one attempt, or refuses the call.
 func (r *router) handle(call *kernel.Call) (*kernel.Answer, error) {
 	balancer := r.balancer(call.Service)
 	if balancer == nil || balancer.Size() == 0 {
@@ -17,7 +17,7 @@
 	now := time.Now()
 	level := balancer.Level(now, call.Policy.Path)
 	if call.Priority < level {
-		noteLevel(call, level)
+		recordLevel(call, level)
 	}
 	if call.Priority < level && refusedByLevel(call) {
 		return nil, result.New(result.ShedEarly, "a service on the call path admits only higher priorities now").WithUsualRetryAfter()
@@ -30,13 +30,13 @@
 	return r.attempt(call, balancer, target)
 }
 
-// refusedByLevel reports whether levels refuse calls like this one before they are sent.
-// Committed calls wait beside the back end instead, and where a route table is in force,
-// the gate of the route has admitted the request (plug-in shed).
+// refusedByLevel reports whether a call below the admission level is refused before it is sent.
+// A call with upstream work waits for a slot at the node instead. A routed request has already
+// been admitted by the gate of its route (plug-in shed).
 func refusedByLevel(call *kernel.Call) bool { return !call.Committed() && !call.Routed }
 
-// pick returns the node for the next attempt: one that was not tried yet, and when all
-// were, any, with the list begun again.
+// pick returns the node for the next attempt, one that the call has not tried yet. If all were
+// tried, it clears call.Tried and returns any node.
 func pick(now time.Time, balancer *balance.Balancer, call *kernel.Call) (balance.Target, bool) {
 	need := balance.Need{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.Tried, Once: !call.Policy.Repeatable}
 	if target, found := balancer.Pick(now, need); found {
@@ -53,7 +53,7 @@
 	return result.New(result.NoNode, "no node of service %q is available", call.Service).WithUsualRetryAfter()
 }
 
-func noteLevel(call *kernel.Call, level int) {
+func recordLevel(call *kernel.Call, level int) {
 	if call.Execution != nil {
 		call.Execution.NoteLevel(level)
 	}
--- a/plugin/routing/router.go
+++ b/plugin/routing/router.go
@@ -15,10 +15,11 @@
 	process     *kernel.Process
 	transmitter *kernel.Transmitter
 	mutex       sync.RWMutex
-	balancers   map[string]*balance.Balancer // by service
+	// Balancers by service.
+	balancers map[string]*balance.Balancer
 }
 
-// update takes a new state of the mesh. It runs on the control loop.
+// update updates the balancers with the nodes of the mesh. It runs on the control loop.
 func (r *router) update(_ time.Time, members []membership.Member) {
 	targets := map[string][]balance.Target{}
 	for _, member := range members {
@@ -49,7 +50,8 @@
 	}
 	r.mutex.Unlock()
 	for service, balancer := range balancers {
-		balancer.Update(time.Now(), targets[service]) // balancers measure work
+		// Balancers measure latencies, so they use the monotonic clock, not that of the control loop.
+		balancer.Update(time.Now(), targets[service])
 	}
 }
 
--- a/plugin/routing/routing_test.go
+++ b/plugin/routing/routing_test.go
@@ -24,14 +24,14 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// TestATimeoutIsPressure: nobody answers, so that nobody tells of any pressure.
-// A gate that took this for none would open under overload.
-func TestATimeoutIsPressure(t *testing.T) {
+// TestTimeoutCountsAsPressure guards against gates that open under overload because a node that
+// does not answer reports no pressure.
+func TestTimeoutCountsAsPressure(t *testing.T) {
 	is := is.New(t)
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer silent.Close()
-	r, balancer := routerTo(silent.Addr().String())
+	defer listener.Close()
+	r, balancer := newRouter(listener.Addr().String())
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	call := newCall(ctx)
@@ -43,18 +43,18 @@
 	is.Equal(balancer.Size(), 1)
 }
 
-// TestSilenceEndsNoAttemptUnderASharedBudget: the back end may be at work, and there
-// may be no retry left.
-func TestSilenceEndsNoAttemptUnderASharedBudget(t *testing.T) {
+// TestNoAttemptTimeoutWithSharedBudget guards against ending an attempt that the back end may be
+// working on when the shared budget may have no retry for another one.
+func TestNoAttemptTimeoutWithSharedBudget(t *testing.T) {
 	is := is.New(t)
 	addresses := []string{}
 	for range 2 {
-		silent, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
-		defer silent.Close()
-		addresses = append(addresses, silent.Addr().String())
+		defer listener.Close()
+		addresses = append(addresses, listener.Addr().String())
 	}
-	r, _ := routerTo(addresses...)
+	r, _ := newRouter(addresses...)
 	r.process.Settings.RetryBudget.Window = settings.Duration(10 * time.Second)
 	ctx, cancel := context.WithTimeout(t.Context(), retry.LeastTimeout+200*time.Millisecond)
 	defer cancel()
@@ -63,11 +63,11 @@
 	call.Policy.Repeatable = true
 	_, err := r.handle(call)
 	is.Equal(result.From(err).Code, result.DeadlineExceeded)
-	is.True(ctx.Err() != nil) // it lasted as long as the call had time
+	is.True(ctx.Err() != nil) // the attempt lasted until the deadline of the call
 }
 
-// routerTo returns a router that knows nodes of service "s" at addresses.
-func routerTo(addresses ...string) (*router, *balance.Balancer) {
+// newRouter returns a router with nodes of service "s" at addresses, and the balancer of "s".
+func newRouter(addresses ...string) (*router, *balance.Balancer) {
 	balancer := balance.New(balance.Config{})
 	targets := []balance.Target{}
 	for _, address := range addresses {
@@ -96,10 +96,10 @@
 	}
 }
 
-// TestFailuresThatANodeTellsCountAgainstIt: the answers of its back end are lost,
-// which the node tells at once. That is no fast node.
-func TestFailuresThatANodeTellsCountAgainstIt(t *testing.T) {
-	for name, tells := range map[string]*result.Error{
+// TestReportedFailuresCountAgainstNode guards against preferring a node for its low latency when it
+// quickly reports errors.
+func TestReportedFailuresCountAgainstNode(t *testing.T) {
+	for name, failure := range map[string]*result.Error{
 		"lost answers": result.New(result.ConnectionLost, "test"),
 		"refusals":     result.New(result.Overloaded, "test"),
 	} {
@@ -109,7 +109,7 @@
 			badNode := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				bad++
 				echoAttempt(w, r)
-				tells.WriteHTTP(w)
+				failure.WriteHTTP(w)
 			}))
 			defer badNode.Close()
 			goodNode := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -118,7 +118,7 @@
 				w.WriteHeader(http.StatusOK)
 			}))
 			defer goodNode.Close()
-			r, _ := routerTo(badNode.Listener.Addr().String(), goodNode.Listener.Addr().String())
+			r, _ := newRouter(badNode.Listener.Addr().String(), goodNode.Listener.Addr().String())
 			for range 200 {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				answer, err := r.handle(newCall(ctx))
@@ -138,9 +138,9 @@
 	_ = answer.Body.Close()
 }
 
-// echoAttempt reports the attempt of a call in its answer, as a node does.
+// echoAttempt writes the attempt id of a request into the header of the answer, as a node does.
 func echoAttempt(w http.ResponseWriter, r *http.Request) {
-	told := wire.ReadCallContext(r.Header)
-	report := wire.Report{Attempt: told.Attempt}
+	received := wire.ReadCallContext(r.Header)
+	report := wire.Report{Attempt: received.Attempt}
 	report.Write(w.Header())
 }
--- a/plugin/routing/setup.go
+++ b/plugin/routing/setup.go
@@ -1,7 +1,8 @@
-// Package routing chooses the node for each attempt of a call and sends it there. It
-// refuses calls that a service further down would refuse. It owns a balancer for each
-// service and the connections to nodes; package balance chooses, and membership says which
-// nodes there are.
+// Package routing sends each attempt of a call to a node of its service. It refuses calls that a
+// service further down the call path would refuse.
+//
+// It owns one balancer per service and the connections to nodes. Package balance chooses the
+// nodes from the members that plug-in membership publishes.
 package routing
 
 import (
@@ -14,10 +15,12 @@
 
 const name = "routing"
 
-// Connections to nodes.
+// Limits of the connections to nodes.
 const (
-	dialTimeout = 500 * time.Millisecond // far above a round trip between regions
-	maximumIdle = 64                     // connections kept open to one node
+	// dialTimeout is far above a round trip between regions.
+	dialTimeout = 500 * time.Millisecond
+	// maximumIdle is the number of idle connections kept open to one node.
+	maximumIdle = 64
 	idleTimeout = 60 * time.Second
 )
 
