--- a/plugin/deadline/setup.go
+++ b/plugin/deadline/setup.go
@@ -1,4 +1,5 @@
-// Package deadline refuses requests that have no time left, before any work.
+// Package deadline refuses requests that have no time left, before any work is done. It owns no
+// state.
 package deadline
 
 import (
@@ -10,18 +11,18 @@
 
 const name = "deadline"
 
-// minimumRemaining is the time below which nothing can be done for a request.
+// minimumRemaining is the time left below which a request is refused.
 const minimumRemaining = time.Millisecond
 
 func init() { kernel.Register(name, kernel.StageTraffic, setup) }
 
 func setup(process *kernel.Process) error {
-	process.UseInbound(name, refuse)
-	process.UseOutbound(name, refuse)
+	process.UseInbound(name, middleware)
+	process.UseOutbound(name, middleware)
 	return nil
 }
 
-func refuse(next kernel.Handler) kernel.Handler {
+func middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		if call.Deadline.Left() < minimumRemaining {
 			return nil, result.New(result.DeadlineTooShort, "no time is left for the request")
--- a/plugin/shed/gates.go
+++ b/plugin/shed/gates.go
@@ -15,25 +15,27 @@
 type gates struct {
 	process *kernel.Process
 	mutex   sync.Mutex
-	byPath  map[string]*routeGate // by the path of the policy
+	// Gates by the policy path of the route.
+	byPath map[string]*routeGate
 }
 
 // routeGate is the gate of one route.
 type routeGate struct {
 	gate *admission.Gate
-	// firstPatience is the most time that a caller gave a request: that of a first try.
-	// What a request has less, it has spent on tries that were refused.
-	firstPatience time.Duration
-	opening       opening // as it was last logged
+	// maximumTimeout is the longest time that a caller has given a request, taken as that of a
+	// first attempt. A request with less time has spent the difference on earlier attempts.
+	maximumTimeout time.Duration
+	// Last logged opening.
+	opening opening
 }
 
-// opening is how far a gate is open, as operators want to know it.
+// opening is a coarse measure, for the log, of how far a gate is open.
 type opening int
 
 const (
-	open     opening = iota // everything is admitted
-	narrowed                // half or more
-	low                     // less than half
+	open     opening = iota // all requests are admitted
+	narrowed                // at least half are admitted
+	low                     // fewer than half are admitted
 )
 
 var openingNames = []string{"open", "narrowed", "low"}
@@ -64,46 +66,45 @@
 	})
 }
 
-// admit reports whether the call is admitted, and the share that is. It notes when there
-// may be room for a call that is refused.
+// admit reports whether the call is admitted, and the share of calls that its gate admits. It
+// sets call.RoomAfter.
 func (g *gates) admit(call *kernel.Call) (share float64, admitted bool) {
 	now := time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	found := g.route(call, now)
-	found.firstPatience = max(found.firstPatience, call.Patience)
-	admitted = found.gate.Admit(now, admission.Rank(found.firstPatience-call.Patience, rand.Float64()))
-	call.RoomAfter = found.gate.Reopens()
-	return found.gate.Share(), admitted
+	route := g.route(call, now)
+	route.maximumTimeout = max(route.maximumTimeout, call.Patience)
+	admitted = route.gate.Admit(now, admission.Rank(route.maximumTimeout-call.Patience, rand.Float64()))
+	call.RoomAfter = route.gate.Reopens()
+	return route.gate.Share(), admitted
 }
 
-// pressureOf returns the pressure that a call counts at the gate of its route.
+// pressureOf returns the pressure of a finished call for the gate of its route.
 func pressureOf(call *kernel.Call, answer *kernel.Answer, err error, taken time.Duration) float64 {
 	failed := err != nil || answer.Failed()
 	return admission.RoutePressure(call.Pressure, failed, taken, call.Policy.TargetLatency)
 }
 
-// done records the pressure that an admitted call met, and logs when the gate has moved
-// from one opening to another.
+// done records the pressure of an admitted call and logs a change of the gate's opening.
 func (g *gates) done(call *kernel.Call, pressure float64) {
 	now := time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	found := g.route(call, now)
-	found.gate.Done(now, pressure)
-	share := found.gate.Share()
-	if moved := openingOf(share); moved != found.opening {
-		found.opening = moved
-		g.process.Log.Emit(event.GateMoved, "path", call.Policy.Path, "opening", openingNames[moved], "share", share, "pressure", pressure)
+	route := g.route(call, now)
+	route.gate.Done(now, pressure)
+	share := route.gate.Share()
+	if current := openingOf(share); current != route.opening {
+		route.opening = current
+		g.process.Log.Emit(event.GateMoved, "path", call.Policy.Path, "opening", openingNames[current], "share", share, "pressure", pressure)
 	}
 }
 
-// route returns the gate of a call's route. The mutex is held.
+// route returns the gate of a call's route. The caller holds the mutex.
 func (g *gates) route(call *kernel.Call, now time.Time) *routeGate {
-	found, exists := g.byPath[call.Policy.Path]
+	route, exists := g.byPath[call.Policy.Path]
 	if !exists {
-		found = &routeGate{gate: admission.NewGate(now)}
-		g.byPath[call.Policy.Path] = found
+		route = &routeGate{gate: admission.NewGate(now)}
+		g.byPath[call.Policy.Path] = route
 	}
-	return found
+	return route
 }
--- a/plugin/shed/setup.go
+++ b/plugin/shed/setup.go
@@ -1,7 +1,8 @@
-// Package shed refuses requests of callers where they enter, before any work, when their
-// route meets pressure further down. Package admission decides by a Gate a route; this
-// package owns the gates of its process. It serves routes of the policy's route table
-// only: without one, plug-in routing refuses by level.
+// Package shed refuses a share of the requests of external callers where they enter the mesh,
+// before any work is done, while services further down the call path are under pressure.
+//
+// It owns one admission.Gate per route, which decides. It applies only to routes of the policy's
+// route table. Without a route table, plug-in routing refuses by admission level.
 package shed
 
 import "github.com/loomcleat/loomcleat/kernel"
