--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -12,18 +12,21 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// forward is the way to one back end.
-type forward struct {
+// forwarder sends calls to the back end of one node. If the back end sends heartbeats, plug-in
+// instance owns its health, and down and draining are unused.
+type forwarder struct {
 	process     *kernel.Process
 	transmitter *kernel.Transmitter
-	down        atomic.Bool // it refuses connections; only where it sends no heartbeats
-	draining    atomic.Bool // it says so on its health path
+	// Whether the back end refuses connections.
+	down atomic.Bool
+	// Whether the back end reports on its health path that it is draining.
+	draining atomic.Bool
 }
 
 // handle sends the call to the back end.
-func (f *forward) handle(call *kernel.Call) (*kernel.Answer, error) {
+func (f *forwarder) handle(call *kernel.Call) (*kernel.Answer, error) {
 	call.Header.Set(wire.HeaderContext, call.Execution.Token)
-	expected, err := f.expect(call)
+	expected, err := f.expectInstance(call)
 	if err != nil {
 		return nil, err
 	}
@@ -35,24 +38,24 @@
 	response, err := f.transmitter.Send(call.Context, call, f.process.Settings.Backend, call.Header)
 	if err != nil {
 		if result.From(err).Code == result.BackendUnreachable {
-			f.unreachable()
+			f.recordUnreachable()
 		}
 		return nil, err
 	}
-	f.reachable()
+	f.recordReachable()
 	if err := f.checkAnswer(call, response, expected); err != nil {
-		_ = response.Body.Close() // unread, so that the connection is closed
+		_ = response.Body.Close() // unread, which also closes the connection
 		return nil, err
 	}
-	f.noteLoad(response.Header)
-	// What a back end says about outcomes inside the mesh does not count: it
-	// may pass on the refusal of a call of its own, and it did run itself.
+	f.recordLoad(response.Header)
+	// Internal headers of the back end don't count: it may pass on the refusal of a call that it
+	// made, although it ran the request itself.
 	wire.RemoveInternal(response.Header)
 	return &kernel.Answer{Response: response}, nil
 }
 
-// noteLoad takes what the back end tells of its load.
-func (f *forward) noteLoad(header http.Header) {
+// recordLoad records the load that the back end reports in an answer.
+func (f *forwarder) recordLoad(header http.Header) {
 	if f.process.Dialect.ReadLoad == nil {
 		return
 	}
@@ -67,9 +70,10 @@
 	}
 }
 
-// expect names the incarnation that may run the call. It is looked up once more
-// here, since the back end may have left while the call waited for a slot.
-func (f *forward) expect(call *kernel.Call) (instance string, err error) {
+// expectInstance sets the instance of the back end that may run the call and returns its id, "" if
+// the back end sends no heartbeats. It checks the state again because the back end may have left
+// while the call waited for a slot.
+func (f *forwarder) expectInstance(call *kernel.Call) (instance string, err error) {
 	if f.process.BackEnd == nil {
 		return "", nil
 	}
@@ -84,9 +88,9 @@
 	return state.ID, nil
 }
 
-// checkAnswer returns an error for an answer that is not one to the call, and
-// for a promise of the back end that it did not run it.
-func (f *forward) checkAnswer(call *kernel.Call, response *http.Response, expected string) error {
+// checkAnswer returns an error if the response answers another request, or if the back end reports
+// that it did not run the call.
+func (f *forwarder) checkAnswer(call *kernel.Call, response *http.Response, expected string) error {
 	dialect := &f.process.Dialect
 	if dialect.HasRequestID() && call.RequestID != "" && response.Header.Get(dialect.RequestID) != call.RequestID {
 		f.process.Log.Emit(event.AnswerMismatch, "backend", f.process.Settings.Backend, "request", call.RequestID,
@@ -102,9 +106,9 @@
 	return result.New(result.BackendRefused, "the back end refused with status %d", response.StatusCode).WithUsualRetryAfter()
 }
 
-// checkContext returns an error for an answer that carries the context of another
-// request. A back end need not carry it back.
-func (f *forward) checkContext(call *kernel.Call, response *http.Response) error {
+// checkContext returns an error if the response carries the call context of another request. Back
+// ends need not return the call context.
+func (f *forwarder) checkContext(call *kernel.Call, response *http.Response) error {
 	echo := response.Header.Get(wire.HeaderContext)
 	if echo == "" || echo == call.Execution.Token {
 		return nil
--- a/plugin/forward/health.go
+++ b/plugin/forward/health.go
@@ -11,8 +11,8 @@
 	"github.com/loomcleat/loomcleat/event"
 )
 
-// unreachable takes note that no connection to the back end could be opened.
-func (f *forward) unreachable() {
+// recordUnreachable records that no connection to the back end could be opened.
+func (f *forwarder) recordUnreachable() {
 	if f.process.BackEnd != nil {
 		f.process.BackEnd.Unreachable()
 		return
@@ -20,15 +20,15 @@
 	f.setDown(true)
 }
 
-// reachable takes note that the back end has answered.
-func (f *forward) reachable() {
+// recordReachable records that the back end has answered.
+func (f *forwarder) recordReachable() {
 	if f.process.BackEnd == nil {
 		f.setDown(false)
 	}
 }
 
-// setDown announces that the back end refuses connections, or no longer does.
-func (f *forward) setDown(down bool) {
+// setDown logs and announces a change in whether the back end refuses connections.
+func (f *forwarder) setDown(down bool) {
 	if f.down.Swap(down) == down {
 		return
 	}
@@ -40,31 +40,30 @@
 	f.announce()
 }
 
-// announce tells the mesh whether calls may be sent to the back end.
-func (f *forward) announce() {
+// announce announces to peers whether calls may be sent to the back end.
+func (f *forwarder) announce() {
 	f.process.Loop.Post(func(time.Time) {
 		leaving := f.process.Leaving() || f.draining.Load()
 		f.process.Mesh.SetState(leaving, f.down.Load())
 	})
 }
 
-// Intervals of the watch on the back end.
+// Timing of the health checks of the back end.
 const (
-	watchInterval = 500 * time.Millisecond
-	watchTimeout  = time.Second
+	healthInterval = 500 * time.Millisecond
+	healthTimeout  = time.Second
 )
 
-// watch looks after the back end: a connection tells whether it is there, and
-// the health path, when there is one, whether it is draining. No other answer
-// of the health path counts.
-func (f *forward) watch(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+// pollHealth polls the health of the back end until ctx ends. A back end that accepts connections
+// is up. The health path, if one is set, only shows whether the back end is draining.
+func (f *forwarder) pollHealth(ctx context.Context) {
+	ticker := time.NewTicker(healthInterval)
 	defer ticker.Stop()
-	client := &http.Client{Timeout: watchTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: healthTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
-		f.setDown(!f.connects(ctx))
+		f.setDown(!f.acceptsConnection(ctx))
 		if path := f.process.Settings.BackendHealthPath; path != "" {
-			f.setDraining(f.saysDraining(ctx, client, path))
+			f.setDraining(f.reportsDraining(ctx, client, path))
 		}
 		select {
 		case <-ticker.C:
@@ -75,10 +74,10 @@
 	}
 }
 
-// connects reports whether the back end accepts a connection. It reports true when the
-// process ends meanwhile, which says nothing about the back end.
-func (f *forward) connects(ctx context.Context) bool {
-	dialer := net.Dialer{Timeout: watchTimeout}
+// acceptsConnection reports whether the back end accepts a connection. If ctx has ended, it reports
+// true: the failure then doesn't show that the back end is down.
+func (f *forwarder) acceptsConnection(ctx context.Context) bool {
+	dialer := net.Dialer{Timeout: healthTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", f.process.Settings.Backend)
 	if err != nil {
 		return ctx.Err() != nil
@@ -87,28 +86,29 @@
 	return true
 }
 
-// maximumHealthBody bounds how much of a health answer is read, in bytes.
+// maximumHealthBody bounds how much of a health response is read, in bytes.
 const maximumHealthBody = 1 << 10
 
-// drainingWord is what a back end says on its health path while it leaves.
+// drainingWord is contained in the health response of a back end that is draining.
 const drainingWord = "draining"
 
-// saysDraining asks the health path. An answer that breaks off counts as far as it came.
-func (f *forward) saysDraining(ctx context.Context, client *http.Client, path string) bool {
+// reportsDraining requests the health path and reports whether the back end is draining. If the
+// response is truncated, the part received counts.
+func (f *forwarder) reportsDraining(ctx context.Context, client *http.Client, path string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.process.Settings.Backend+path, nil)
 	if err != nil {
-		return false // the settings name a path that is none
+		return false // the health path in the settings is invalid
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return f.draining.Load() // nothing new is known
+		return f.draining.Load() // no response: keep the last known state
 	}
 	defer response.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumHealthBody))
 	return response.StatusCode == http.StatusServiceUnavailable && strings.Contains(string(body), drainingWord)
 }
 
-func (f *forward) setDraining(draining bool) {
+func (f *forwarder) setDraining(draining bool) {
 	if f.draining.Swap(draining) == draining {
 		return
 	}
--- a/plugin/forward/setup.go
+++ b/plugin/forward/setup.go
@@ -1,8 +1,8 @@
-// Package forward hands calls to the back end beside the node.
+// Package forward sends calls to the back end of the node.
 //
-// It owns the connections to the back end and, where the back end sends no heartbeats,
-// what is known of its health: whether it refuses connections and whether it is
-// draining. Where it sends them, plug-in instance owns that.
+// It owns the connections to the back end. If the back end sends no heartbeats, it also owns the
+// health of the back end: whether it refuses connections and whether it is draining. Otherwise
+// plug-in instance owns that state.
 package forward
 
 import (
@@ -14,14 +14,14 @@
 
 const name = "forward"
 
-// Bounds of the connections to the back end.
+// Limits of the connections to the back end.
 const (
-	// dialTimeout bounds the opening of one. The back end is on the same machine, so that
-	// one that takes as long is not going to be accepted.
+	// dialTimeout is long for a back end on the same machine: a connection that takes longer
+	// won't be accepted.
 	dialTimeout = time.Second
-	// maximumIdle is how many idle ones are kept.
+	// maximumIdle is the number of idle connections that are kept.
 	maximumIdle = 64
-	// idleTimeout closes idle ones. The back end's Keep-Alive header goes first.
+	// idleTimeout applies unless the back end's Keep-Alive header sets another one.
 	idleTimeout = 15 * time.Second
 )
 
@@ -31,7 +31,7 @@
 	if !process.IsNode() {
 		return nil
 	}
-	f := &forward{
+	f := &forwarder{
 		process: process,
 		transmitter: kernel.NewTransmitter(kernel.TransmitterConfig{
 			DialTimeout: dialTimeout,
@@ -42,7 +42,7 @@
 	}
 	process.UseInbound(name, func(kernel.Handler) kernel.Handler { return kernel.HandlerFunc(f.handle) })
 	if process.BackEnd == nil {
-		process.OnStart(f.watch)
+		process.OnStart(f.pollHealth)
 	}
 	return nil
 }
--- a/plugin/forward/suspension_test.go
+++ b/plugin/forward/suspension_test.go
@@ -21,46 +21,40 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// knownBackEnd is a back end of which a state is known.
-type knownBackEnd struct {
+// stubBackEnd is a back end with a fixed state.
+type stubBackEnd struct {
 	kernel.BackEnd
 	state instance.State
 }
 
-func (b knownBackEnd) State() instance.State { return b.state }
+func (b stubBackEnd) State() instance.State { return b.state }
 
-// TestNothingIsSentTooLateAfterASuspension
-//
-// Symptom: after a machine was suspended, its node hands requests to the back end whose
-// callers have given up, with time that they no longer have, and requests for a back end
-// that should get none any more since it leaves.
-//
-// Sequence: a request waits beside the back end, or the back end says that it leaves; the
-// machine is suspended for 30 seconds; the request goes on.
-//
-// Cause: the time left was measured by the steady clock, which stands still meanwhile.
-func TestNothingIsSentTooLateAfterASuspension(t *testing.T) {
+// TestDeadlineAfterSuspension guards against sending requests to the back end after their deadline,
+// or after the back end has left, because the monotonic clock stops while the machine is suspended.
+func TestDeadlineAfterSuspension(t *testing.T) {
 	cases := []struct {
-		name      string
-		left      time.Duration
-		closes    time.Duration // 0: the back end does not leave
+		name string
+		left time.Duration
+		// Time until the back end takes no more requests, 0 if it does not leave.
+		closes    time.Duration
 		suspended time.Duration
-		code      result.Code // 0: the back end gets it
+		// 0 if the request reaches the back end.
+		code result.Code
 	}{
 		{"no suspension", 2 * time.Second, 0, 0, 0},
-		{"a short one", 2 * time.Second, 0, 500 * time.Millisecond, 0},
-		{"the caller has given up", 2 * time.Second, 0, 30 * time.Second, result.DeadlineTooShort},
-		{"the back end is leaving", time.Minute, 2 * time.Second, 0, 0},
-		{"it has left meanwhile", time.Minute, 2 * time.Second, 30 * time.Second, result.BackendLeft},
+		{"short suspension", 2 * time.Second, 0, 500 * time.Millisecond, 0},
+		{"deadline passed", 2 * time.Second, 0, 30 * time.Second, result.DeadlineTooShort},
+		{"back end leaving", time.Minute, 2 * time.Second, 0, 0},
+		{"back end left during the suspension", time.Minute, 2 * time.Second, 30 * time.Second, result.BackendLeft},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			told := make(chan string, 1)
+			remaining := make(chan string, 1)
 			arrived := atomic.Int64{}
 			backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 				arrived.Add(1)
-				told <- r.Header.Get("Time-Left")
+				remaining <- r.Header.Get("Time-Left")
 			}))
 			defer backend.Close()
 			suspended := time.Duration(0)
@@ -71,12 +65,12 @@
 			if c.closes > 0 {
 				state.Leaving, state.ClosesAt = true, clock.Now().Add(c.closes).Time()
 			}
-			f := &forward{
+			f := &forwarder{
 				process: &kernel.Process{
 					Log:      event.Discard(),
 					Settings: settings.Settings{Backend: strings.TrimPrefix(backend.URL, "http://")},
 					Dialect:  wire.Dialect{Remaining: "Time-Left"},
-					BackEnd:  knownBackEnd{state: state},
+					BackEnd:  stubBackEnd{state: state},
 				},
 				transmitter: kernel.NewTransmitter(kernel.TransmitterConfig{Refused: result.BackendUnreachable}),
 			}
@@ -99,7 +93,7 @@
 			}
 			is.NoErr(err)
 			_ = answer.Body.Close()
-			left, err := time.ParseDuration(<-told + "ms")
+			left, err := time.ParseDuration(<-remaining + "ms")
 			is.NoErr(err)
 			is.True(left <= c.left-c.suspended)
 		})
--- a/plugin/instance/backend.go
+++ b/plugin/instance/backend.go
@@ -12,28 +12,26 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// closeDivisor makes a node hand requests to a leaving back end for half of backend_drain, so
-// that callers that have not heard of it lose nothing. The other half is the margin before
-// the time by which the back end was promised no new work.
+// closeDivisor divides backend_drain: a leaving back end still gets requests for one part of it, so
+// that callers that don't know yet lose nothing. The rest is a margin, since the back end relies on
+// getting no new work after backend_drain.
 const closeDivisor = 2
 
-// announceInterval is the time between two checks that what is announced is
-// what is known.
+// announceInterval is the time after which the state is announced again even if it has not changed,
+// in case the last announcement differs from it.
 const announceInterval = time.Second
 
-// plugin follows the back end of one process. The tracker is owned by the
-// control loop.
+// plugin tracks the back end of one node. The tracker is owned by the control loop.
 type plugin struct {
-	process     *kernel.Process
-	tracker     *instance.Tracker
-	state       atomic.Pointer[instance.State]
-	unreachable atomic.Bool // since the last heartbeat
+	process *kernel.Process
+	tracker *instance.Tracker
+	state   atomic.Pointer[instance.State]
+	// Whether a connection was refused since the last heartbeat.
+	unreachable atomic.Bool
 }
 
-// State implements kernel.BackEnd.
 func (p *plugin) State() instance.State { return *p.state.Load() }
 
-// Observe implements kernel.BackEnd.
 func (p *plugin) Observe(ctx context.Context, report instance.Report) error {
 	refused, err := kernel.Ask(ctx, p.process.Loop, func(now time.Time) error {
 		err := p.tracker.Observe(now, report)
@@ -50,7 +48,6 @@
 	return refused
 }
 
-// Leave implements kernel.BackEnd.
 func (p *plugin) Leave(ctx context.Context, id string) error {
 	return p.process.Loop.Do(ctx, func(now time.Time) {
 		p.tracker.Leave(now, id)
@@ -58,7 +55,6 @@
 	})
 }
 
-// Found implements kernel.BackEnd.
 func (p *plugin) Found(expected, actual string) {
 	p.process.Loop.Post(func(time.Time) {
 		p.tracker.Found(expected, actual)
@@ -66,7 +62,6 @@
 	})
 }
 
-// Unreachable implements kernel.BackEnd.
 func (p *plugin) Unreachable() {
 	if p.unreachable.Swap(true) {
 		return
@@ -75,8 +70,8 @@
 	p.process.Loop.Post(func(time.Time) { p.announce() })
 }
 
-// publish makes a new state known to traffic and to peers, and logs what has
-// changed. It runs on the control loop.
+// publish publishes the state of the tracker to the request path and to peers, and logs changes. It
+// runs on the control loop.
 func (p *plugin) publish() {
 	before, after := p.State(), p.tracker.State()
 	p.state.Store(&after)
@@ -89,8 +84,8 @@
 	p.announce()
 }
 
-// announce tells peers whether requests may be sent here. It runs on the
-// control loop.
+// announce announces to peers whether they may send requests to this node. It runs on the control
+// loop.
 func (p *plugin) announce() {
 	state := p.tracker.State()
 	p.process.Mesh.SetState(state.Leaving, state.ID == "" || p.unreachable.Load())
--- a/plugin/instance/setup.go
+++ b/plugin/instance/setup.go
@@ -1,10 +1,9 @@
-// Package instance follows the heartbeats of the back end beside the node and
-// refuses requests while the back end is unknown or has left. The decisions are
-// made by package instance at the root.
+// Package instance tracks the back end of the node by its heartbeats and refuses requests while
+// the back end is unknown or has left. Package instance at the root makes the decisions.
 //
-// It owns what is known of the back end, and announces to peers through plugin membership
-// whether requests may be sent here. It relies on package platform, which decodes the
-// heartbeats, and on plugin forward, which reports a back end that refuses connections.
+// It owns the state of the back end, and announces through plug-in membership whether peers may
+// send requests to this node. It relies on package platform, which decodes the heartbeats, and on
+// plug-in forward, which reports a back end that refuses connections.
 package instance
 
 import (
