--- a/plugin/quota/admit.go
+++ b/plugin/quota/admit.go
@@ -7,7 +7,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// middleware refuses the requests of tenants that are beyond their quota.
+// middleware refuses requests of tenants that exceed their quota.
 func (l *limiter) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		if call.Tenant == "" {
@@ -41,5 +41,5 @@
 	l.ledger.Refund(tenant)
 }
 
-// reportSoon wakes the goroutine that reports.
+// reportSoon wakes the goroutine that sends reports.
 func (l *limiter) reportSoon() { kernel.Wake(l.wake) }
--- a/plugin/quota/coordinator.go
+++ b/plugin/quota/coordinator.go
@@ -12,16 +12,16 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// coordinator returns the process that adds up what all have counted: the first of those
-// that watch the store, whose answers prove the policy as well. One that did not answer
-// within avoidTime is passed over. false: none is known.
+// coordinator returns the process that adds up the counts of all processes: the first of those that
+// watch the store, whose answers also prove the policy. It skips processes that did not answer
+// within the last skipTime, and returns false if there is none.
 func (l *limiter) coordinator(now time.Time) (membership.Member, bool) {
 	members := *l.process.Members.Load()
 	if len(members) < 2 && time.Since(l.process.Started) < joinTime {
-		return membership.Member{}, false // it will know others in a moment
+		return membership.Member{}, false // still joining the mesh
 	}
 	for _, id := range spread.Watchers(kernel.LiveIDs(members), len(members)) {
-		if l.avoided[id].After(now) {
+		if l.skipUntil[id].After(now) {
 			continue
 		}
 		for _, member := range members {
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	clear(l.avoided)
+	clear(l.skipUntil)
 	return membership.Member{}, false
 }
 
@@ -44,14 +44,14 @@
 	kernel.WriteJSON(w, wire.QuotaAnswer{Answer: answer, Revisions: l.process.Documents.Revisions()})
 }
 
-// receive takes a report to this process as the coordinator.
+// receive processes a report that was sent to this process as the coordinator.
 func (l *limiter) receive(report quota.Report) quota.Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.totals.Receive(clock.Now().Time(), report)
 }
 
-// serveTenants tells operators what is known here of the quotas.
+// serveTenants serves the state of the quotas at this process to operators.
 func (l *limiter) serveTenants(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now().Time()
 	l.mutex.Lock()
--- a/plugin/quota/processes.go
+++ b/plugin/quota/processes.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// processesAtStart is the number of processes that are assumed to share a quota while
-	// this one has just started and may not know all others. Unlike plugin retry, which
-	// assumes a least number at all times, a process that knows its mesh counts.
+	// processesAtStart is the number of processes assumed to share a quota until joinTime after
+	// the start, when this process may not know all others. Unlike minimumProcesses of plug-in
+	// retry, it does not apply after that.
 	processesAtStart = 16
-	// joinTime is how long that is: as long as membership looks for a mesh.
+	// joinTime is how long membership may take to join a mesh.
 	joinTime = 5 * time.Second
 )
 
-// processCounter counts the processes that may use a share of a quota: those that live, and
-// those that were alive a moment ago and may be cut off rather than gone. A process that is
-// started again at the address of another one takes its place.
+// processCounter counts the processes that may use a share of a quota: those that are alive, and
+// those that died recently, which may only be cut off. A process that starts at the control address
+// of an earlier one replaces it.
 type processCounter struct {
-	forgetAfter time.Duration        // 0: members are forgotten by the mesh only
-	lastAlive   map[string]time.Time // by control address
+	// Time after which a dead process no longer counts, 0 for as long as membership remembers it.
+	forgetAfter time.Duration
+	// Time at which a process was last alive, by control address.
+	lastAlive map[string]time.Time
 }
 
 func newProcessCounter(forgetAfter time.Duration) processCounter {
@@ -43,7 +45,7 @@
 	return len(c.lastAlive)
 }
 
-// countProcesses takes a new state of the mesh. It runs on the control loop.
+// countProcesses updates the number of processes that share quotas. It runs on the control loop.
 func (l *limiter) countProcesses(now time.Time, members []membership.Member) {
 	processes := l.counter.count(now, members)
 	if time.Since(l.process.Started) < joinTime {
--- a/plugin/quota/processes_test.go
+++ b/plugin/quota/processes_test.go
@@ -9,8 +9,9 @@
 	"github.com/loomcleat/loomcleat/membership"
 )
 
-// TestProcessesThatMayBeCutOffAreCounted: until they surely admit nothing any more.
-func TestProcessesThatMayBeCutOffAreCounted(t *testing.T) {
+// TestProcessCounterKeepsDeadProcesses guards against leaving out a process that may only be cut
+// off and still admit requests.
+func TestProcessCounterKeepsDeadProcesses(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	alive := []membership.Member{{ID: "a", Control: "1"}, {ID: "b", Control: "2"}, {ID: "c", Control: "3"}}
@@ -23,7 +24,7 @@
 	is.Equal(c.count(start.Add(11*time.Second), oneDead), 2)
 	is.Equal(c.count(start.Add(12*time.Second), replaced), 3)
 
-	c = newProcessCounter(0) // processes that are cut off go on
+	c = newProcessCounter(0) // processes that are cut off never stop admitting requests
 	is.Equal(c.count(start, alive), 3)
 	is.Equal(c.count(start.Add(time.Minute), oneDead), 3)
 	is.Equal(c.count(start.Add(time.Hour), alive[:2]), 2)
--- a/plugin/quota/quotas.go
+++ b/plugin/quota/quotas.go
@@ -6,12 +6,12 @@
 	"github.com/loomcleat/loomcleat/quota"
 )
 
-// tickInterval is the time between two looks at what changes by time: the processes that
-// count, and quotas that were lowered.
+// tickInterval is the time between two updates of the state that changes with time: the processes
+// that count, and lowered quotas that come into force.
 const tickInterval = 500 * time.Millisecond
 
-// adopt puts the quotas of a new policy in force. It runs on the control loop.
-func (l *limiter) adopt(now time.Time, _ []byte) {
+// applyPolicy applies the quotas of a new policy. It runs on the control loop.
+func (l *limiter) applyPolicy(now time.Time, _ []byte) {
 	quotas := map[string]quota.Quota{}
 	for _, tenant := range l.process.Policy.Load().Tenants().List() {
 		if tenant.Quota.Bounded() {
@@ -19,10 +19,11 @@
 		}
 	}
 	l.grace.Set(now, quotas)
-	l.putInForce(now)
+	l.applyQuotas(now)
 }
 
-func (l *limiter) putInForce(now time.Time) {
+// applyQuotas applies the quotas that are in force now. It runs on the control loop.
+func (l *limiter) applyQuotas(now time.Time) {
 	quotas, changing := l.grace.InForce(now)
 	l.changing = changing
 	l.mutex.Lock()
@@ -31,10 +32,10 @@
 	l.totals.SetQuotas(quotas)
 }
 
-// tick runs on the control loop.
+// tick updates the state that changes with time. It runs on the control loop.
 func (l *limiter) tick(now time.Time) {
 	l.countProcesses(now, *l.process.Members.Load())
 	if l.changing {
-		l.putInForce(now)
+		l.applyQuotas(now)
 	}
 }
--- a/plugin/quota/report.go
+++ b/plugin/quota/report.go
@@ -13,99 +13,101 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Bounds of reports.
+// Timing of reports.
 const (
-	// answerTimeout bounds one report. An answer takes a few milliseconds; while one is
-	// missing, the process may admit hardly anything beyond its equal shares.
+	// answerTimeout bounds the time until a report is answered. It is short, since a process that
+	// waits for an answer admits little beyond its equal shares.
 	answerTimeout = 200 * time.Millisecond
-	// reportPause is the least time between two reports, so that those made ahead of time
-	// stay few.
+	// reportPause is the minimum time between two reports. It bounds the number of reports that
+	// are sent before the interval has passed.
 	reportPause = 30 * time.Millisecond
-	// avoidTime is how long a coordinator that did not answer is not asked again.
-	avoidTime = time.Second
-	// firstPace is the time between two looks for a coordinator until one has answered:
-	// until then, a process admits hardly any request of small tenants.
-	firstPace = 50 * time.Millisecond
-	// idlePace is the time between two looks at whether there are tenants.
-	idlePace = time.Second
-	// connectionIdle keeps the connection to the coordinator between two reports.
-	connectionIdle = 10 * time.Second
+	// skipTime is how long a coordinator that did not answer is skipped.
+	skipTime = time.Second
+	// firstReportInterval is the time between two reports until one is answered. It is short, since
+	// a process admits hardly any requests of small tenants until then.
+	firstReportInterval = 50 * time.Millisecond
+	// idleInterval is the time between two checks whether reports are needed.
+	idleInterval = time.Second
+	// idleTimeout keeps the connection to the coordinator open between two reports.
+	idleTimeout = 10 * time.Second
 )
 
-// report makes reports until ctx ends.
-func (l *limiter) report(ctx context.Context) {
+// reportLoop sends reports until ctx ends.
+func (l *limiter) reportLoop(ctx context.Context) {
 	defer l.client.Close()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
-		case <-time.After(l.pace()):
+		case <-time.After(l.nextInterval()):
 		}
-		for l.needed() && !l.exchange(ctx) && ctx.Err() == nil {
+		for l.reportsNeeded() && !l.sendReport(ctx) && ctx.Err() == nil {
 			kernel.Pause(ctx, reportPause)
 		}
 		kernel.Pause(ctx, reportPause)
 	}
 }
 
-// pace returns the time until the next report.
-func (l *limiter) pace() time.Duration {
+// nextInterval returns the time until the next report.
+func (l *limiter) nextInterval() time.Duration {
 	l.mutex.Lock()
 	isFirst := l.ledger.AwaitsFirstAnswer()
 	l.mutex.Unlock()
 	switch {
-	case !l.needed():
-		return idlePace
+	case !l.reportsNeeded():
+		return idleInterval
 	case isFirst:
-		return firstPace
-	case l.again:
+		return firstReportInterval
+	case l.reportAgain:
 		return quota.AgainTime
 	default:
 		return l.config.Interval
 	}
 }
 
-// needed reports whether reports serve anything: where keys are required, the answers prove
-// the policy by which they are trusted, and most tenants have a quota.
-func (l *limiter) needed() bool { return l.process.Policy.Load().Tenants().Required() }
+// reportsNeeded reports whether the policy requires keys. If it does, most tenants have a quota,
+// and the answers to reports prove the policy, without which no key is accepted.
+func (l *limiter) reportsNeeded() bool { return l.process.Policy.Load().Tenants().Required() }
 
-// exchange makes one report and reports whether it was answered.
-func (l *limiter) exchange(ctx context.Context) bool {
+// sendReport sends one report and applies the answer. It returns false if the coordinator did not
+// answer.
+func (l *limiter) sendReport(ctx context.Context) bool {
 	coordinator, found := l.coordinator(clock.Now().Time())
 	if !found {
-		return true // nobody else is known: the next look is an interval away
+		return true // no coordinator is known; try again after the interval
 	}
 	l.mutex.Lock()
 	report := l.ledger.BeginReport(l.process.ID)
 	l.mutex.Unlock()
-	asked := clock.Now().Time()
-	answer, err := l.ask(ctx, coordinator, report)
+	sentAt := clock.Now().Time()
+	answer, err := l.askCoordinator(ctx, coordinator, report)
 	if err != nil {
-		l.failed(coordinator, asked, err)
+		l.recordFailure(coordinator, sentAt, err)
 		return false
 	}
 	l.mutex.Lock()
-	changed := l.ledger.ReportAnswered(asked, answer)
+	changed := l.ledger.ReportAnswered(sentAt, answer)
 	l.mutex.Unlock()
-	l.again = answer.Again
+	l.reportAgain = answer.Again
 	l.logAnswer(coordinator, changed)
 	return true
 }
 
-func (l *limiter) failed(coordinator membership.Member, asked time.Time, err error) {
+// recordFailure records and logs that a coordinator did not answer a report.
+func (l *limiter) recordFailure(coordinator membership.Member, sentAt time.Time, err error) {
 	l.mutex.Lock()
 	l.ledger.ReportFailed()
 	l.mutex.Unlock()
-	l.avoided[coordinator.ID] = asked.Add(avoidTime)
-	l.last = ""
-	l.process.Log.Emit(event.QuotaUnanswered, "coordinator", coordinator.ID, "taken_ms", clock.Now().Time().Sub(asked).Milliseconds(), "error", err)
+	l.skipUntil[coordinator.ID] = sentAt.Add(skipTime)
+	l.lastCoordinator = ""
+	l.process.Log.Emit(event.QuotaUnanswered, "coordinator", coordinator.ID, "taken_ms", clock.Now().Time().Sub(sentAt).Milliseconds(), "error", err)
 }
 
-// logAnswer logs what an answer has changed.
+// logAnswer logs a change of the coordinator, and the tenants whose share an answer has changed.
 func (l *limiter) logAnswer(coordinator membership.Member, changed []quota.Share) {
-	if l.last != coordinator.ID {
-		l.last = coordinator.ID
+	if l.lastCoordinator != coordinator.ID {
+		l.lastCoordinator = coordinator.ID
 		l.process.Log.Emit(event.QuotaCoordinatorChanged, "coordinator", coordinator.ID)
 	}
 	for _, share := range changed {
@@ -113,8 +115,8 @@
 	}
 }
 
-// ask sends a report to the coordinator, which may be this process.
-func (l *limiter) ask(ctx context.Context, coordinator membership.Member, report quota.Report) (quota.Answer, error) {
+// askCoordinator sends a report to the coordinator, which may be this process.
+func (l *limiter) askCoordinator(ctx context.Context, coordinator membership.Member, report quota.Report) (quota.Answer, error) {
 	if coordinator.ID == l.process.ID {
 		return l.receive(report), nil
 	}
@@ -122,10 +124,10 @@
 	defer cancel()
 	message := wire.QuotaReport{Report: report, Revisions: l.process.Documents.Revisions()}
 	var reply wire.QuotaAnswer
-	asked := clock.Now().Time()
+	sentAt := clock.Now().Time()
 	if err := l.client.Invoke(ctx, coordinator.Control, http.MethodPost, wire.PathQuota, &message, &reply); err != nil {
 		return quota.Answer{}, err
 	}
-	l.process.Documents.Heard(coordinator.Control, reply.Revisions, asked)
+	l.process.Documents.Heard(coordinator.Control, reply.Revisions, sentAt)
 	return reply.Answer, nil
 }
--- a/plugin/quota/setup.go
+++ b/plugin/quota/setup.go
@@ -1,11 +1,12 @@
-// Package quota holds the requests of tenants within their quotas over the whole mesh: it
-// counts the requests that enter here, reports them to the process that adds up what all
-// have counted, and answers the reports of others when that is this one.
+// Package quota limits the requests of tenants to their quotas over the whole mesh. Each process
+// counts the requests that it admits and reports the counts to one process, the coordinator, which
+// adds them up and answers which tenants to throttle. Package quota at the root makes the
+// decisions.
 //
-// It owns the counts of this process. The decisions are made by package quota at the root.
-// It relies on plugin tenant for whom a request is, on the list of members for how many
-// processes share a quota and which one coordinates, and on the policy for the quotas. Its
-// reports also carry revisions, whose answers prove how new the policy is.
+// This package owns the counts of this process, and the totals while this process is the
+// coordinator. It relies on plug-in tenant for the tenant of a request, on the member list for the
+// number of processes and the coordinator, and on the policy for the quotas. Reports and answers
+// also carry revisions of documents; an answer proves how recent the policy is.
 package quota
 
 import (
@@ -31,31 +32,32 @@
 		Interval:  s.Interval.Std(),
 	}
 	l := &limiter{
-		process: process,
-		config:  config,
-		client:  process.NewControlClient(connectionIdle),
-		ledger:  quota.NewLedger(config, rand.Uint64()),
-		totals:  quota.NewCoordinator(config),
-		grace:   quota.NewGracePeriod(config.Window),
-		wake:    make(chan struct{}, 1),
-		avoided: map[string]time.Time{},
-		counter: newProcessCounter(forgetAfter(process)),
+		process:   process,
+		config:    config,
+		client:    process.NewControlClient(idleTimeout),
+		ledger:    quota.NewLedger(config, rand.Uint64()),
+		totals:    quota.NewCoordinator(config),
+		grace:     quota.NewGracePeriod(config.Window),
+		wake:      make(chan struct{}, 1),
+		skipUntil: map[string]time.Time{},
+		counter:   newProcessCounter(forgetAfter(process)),
 	}
 	l.setProcesses(processesAtStart)
 	process.UseOutbound(name, l.middleware)
 	process.OnMembers(l.countProcesses)
 	process.Loop.Every(tickInterval, l.tick)
-	process.Documents.Subscribe(wire.DocumentPolicy, l.adopt)
+	process.Documents.Subscribe(wire.DocumentPolicy, l.applyPolicy)
 	process.HandleControl("POST "+wire.PathQuota, l.serveReport)
 	process.HandleControl("GET "+wire.PathTenants, l.serveTenants)
 	if config.Interval > 0 {
-		process.OnStart(l.report)
+		process.OnStart(l.reportLoop)
 	}
 	return nil
 }
 
-// forgetAfter is how long a process that is gone may still use its share of a quota: until
-// it refuses all requests with keys, and a window more. 0: for as long as it is remembered.
+// forgetAfter returns how long a process that is dead to this one may still use its share of a
+// quota: until it refuses all requests with keys, plus one window. 0 means for as long as
+// membership remembers the process.
 func forgetAfter(process *kernel.Process) time.Duration {
 	revocation := process.Settings.KeyRevocation.Std()
 	if revocation == 0 {
@@ -64,24 +66,32 @@
 	return revocation + process.Settings.Quota.Window.Std()
 }
 
-// limiter holds tenants within their quotas at one process.
+// limiter limits tenants to their quotas at one process.
 type limiter struct {
 	process *kernel.Process
 	config  quota.Config
 	client  *kernel.ControlClient
-	wake    chan struct{} // a report is due ahead of time
+	// Signals that a report is due before the interval has passed.
+	wake chan struct{}
 
-	// Of the control loop.
-	counter  processCounter
-	grace    *quota.GracePeriod
-	changing bool // quotas change by time
+	// Owned by the control loop.
+	counter processCounter
+	grace   *quota.GracePeriod
+	// Whether lowered quotas are still to come into force.
+	changing bool
 
-	mutex  sync.Mutex // guards what follows
+	// Guards ledger and totals.
+	mutex  sync.Mutex
 	ledger *quota.Ledger
-	totals *quota.Coordinator // used while this process is the coordinator
+	// Used while this process is the coordinator.
+	totals *quota.Coordinator
 
-	// Of the goroutine that reports.
-	avoided map[string]time.Time // coordinators that did not answer, until when
-	last    string               // coordinator that answered, "" for none
-	again   bool                 // it asked for the next report soon
+	// Owned by the goroutine that reports.
+
+	// Time until which a coordinator that did not answer is skipped, by process id.
+	skipUntil map[string]time.Time
+	// Coordinator that answered last, "" for none.
+	lastCoordinator string
+	// Whether that answer asked for the next report soon.
+	reportAgain bool
 }
