--- a/plugin/identity/identity_test.go
+++ b/plugin/identity/identity_test.go
@@ -11,49 +11,51 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// description of a call, as far as its identity depends on it.
-type description struct {
+// callFields holds the fields of a call that its claim key depends on.
+type callFields struct {
 	service, path, key, credentials, request, tenant string
 	fingerprint                                      uint64
 	execution                                        *kernel.Execution
 }
 
-func keyOf(d description) string {
+// keyOf returns the claim key of a call.
+func keyOf(f callFields) string {
 	call := &kernel.Call{
-		Service: d.service, Method: http.MethodPost, URL: &url.URL{Path: d.path}, Header: http.Header{},
-		Body: kernel.NewBufferedBody(nil), Request: d.request, Fingerprint: d.fingerprint, Execution: d.execution, Tenant: d.tenant,
+		Service: f.service, Method: http.MethodPost, URL: &url.URL{Path: f.path}, Header: http.Header{},
+		Body: kernel.NewBufferedBody(nil), Request: f.request, Fingerprint: f.fingerprint, Execution: f.execution, Tenant: f.tenant,
 	}
-	if d.key != "" {
-		call.Header.Set(wire.HeaderIdempotencyKey, d.key)
+	if f.key != "" {
+		call.Header.Set(wire.HeaderIdempotencyKey, f.key)
 	}
-	if d.credentials != "" {
-		call.Header.Set("Authorization", d.credentials)
+	if f.credentials != "" {
+		call.Header.Set("Authorization", f.credentials)
 	}
 	identify(call)
 	return call.ClaimKey.String()
 }
 
-func TestIdentity(t *testing.T) {
-	base := description{service: "pay", path: "/x", key: "k", request: "r1"}
-	with := func(change func(*description)) description {
+// TestClaimKey checks which calls get the same claim key.
+func TestClaimKey(t *testing.T) {
+	base := callFields{service: "pay", path: "/x", key: "k", request: "r1"}
+	with := func(change func(*callFields)) callFields {
 		changed := base
 		change(&changed)
 		return changed
 	}
 	cases := []struct {
 		name string
-		a, b description
+		a, b callFields
 		same bool
 	}{
-		{"the same key", base, with(func(d *description) { d.request = "r2" }), true},
-		{"another key", base, with(func(d *description) { d.key = "other" }), false},
-		{"another service", base, with(func(d *description) { d.service = "other" }), false},
-		{"another target", base, with(func(d *description) { d.path = "/y" }), false},
-		{"other credentials", base, with(func(d *description) { d.credentials = "other" }), false},
-		{"another tenant", base, with(func(d *description) { d.tenant = "other" }), false},
-		{"another body is noticed later, by the fingerprint", base, with(func(d *description) { d.fingerprint = 7 }), true},
-		{"no key, the same user request", with(func(d *description) { d.key = "" }), with(func(d *description) { d.key = "" }), true},
-		{"no key, another user request", with(func(d *description) { d.key = "" }), with(func(d *description) { d.key, d.request = "", "r2" }), false},
+		{"the same key", base, with(func(f *callFields) { f.request = "r2" }), true},
+		{"another key", base, with(func(f *callFields) { f.key = "other" }), false},
+		{"another service", base, with(func(f *callFields) { f.service = "other" }), false},
+		{"another target", base, with(func(f *callFields) { f.path = "/y" }), false},
+		{"other credentials", base, with(func(f *callFields) { f.credentials = "other" }), false},
+		{"another tenant", base, with(func(f *callFields) { f.tenant = "other" }), false},
+		{"another body, which the fingerprint detects later", base, with(func(f *callFields) { f.fingerprint = 7 }), true},
+		{"no key, the same user request", with(func(f *callFields) { f.key = "" }), with(func(f *callFields) { f.key = "" }), true},
+		{"no key, another user request", with(func(f *callFields) { f.key = "" }), with(func(f *callFields) { f.key, f.request = "", "r2" }), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,15 +65,15 @@
 	}
 }
 
-// TestARepeatedExecutionNamesItsCallsAlike: the calls of an execution get keys
-// of their own, and the same ones when the execution is repeated.
-func TestARepeatedExecutionNamesItsCallsAlike(t *testing.T) {
+// TestClaimKeysOfRepeatedExecution guards against calls of one execution that share a claim key, and
+// against other claim keys when the execution is repeated.
+func TestClaimKeysOfRepeatedExecution(t *testing.T) {
 	is := is.New(t)
 	keys := func(identity string) []string {
 		execution := &kernel.Execution{Identity: identity}
 		list := []string{}
 		for _, fingerprint := range []uint64{1, 1, 2} {
-			list = append(list, keyOf(description{service: "pay", path: "/x", fingerprint: fingerprint, execution: execution}))
+			list = append(list, keyOf(callFields{service: "pay", path: "/x", fingerprint: fingerprint, execution: execution}))
 		}
 		return list
 	}
--- a/plugin/identity/setup.go
+++ b/plugin/identity/setup.go
@@ -1,6 +1,6 @@
-// Package identity gives each call the key under which it may run at most once, with the
-// setting claims: true; without claims it does nothing. Plug-in once passes the key on to
-// nodes and claims it there.
+// Package identity gives each call the claim key under which it may run at most once. It does
+// nothing unless the setting claims is true. Plug-in once passes the key to nodes and claims it
+// there. Package identity owns no state.
 package identity
 
 import (
@@ -23,10 +23,10 @@
 	}
 	process.UseOutbound(name, func(next kernel.Handler) kernel.Handler {
 		return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
-			minted := mintKey(call)
+			assigned := assignKey(call)
 			identify(call)
 			answer, err := next.Handle(call)
-			if err == nil && minted {
+			if err == nil && assigned {
 				answer.Header.Set(wire.HeaderIdempotencyKey, call.Header.Get(wire.HeaderIdempotencyKey))
 			}
 			return answer, err
@@ -35,9 +35,9 @@
 	return nil
 }
 
-// mintKey gives a caller's request that may not be repeated an Idempotency-Key
-// when it has none, and reports whether it did. The caller is told the key.
-func mintKey(call *kernel.Call) bool {
+// assignKey sets the Idempotency-Key of an external request that is not repeatable and has none. It
+// reports whether it did; the answer then returns the key to the caller.
+func assignKey(call *kernel.Call) bool {
 	if !call.External || call.Policy.Repeatable || call.Header.Get(wire.HeaderIdempotencyKey) != "" {
 		return false
 	}
@@ -45,38 +45,39 @@
 	return true
 }
 
-// Kinds of identities, so that keys of one kind never equal those of another.
+// Kinds of claim keys. Keys of different kinds are never equal.
 const (
-	kindGiven   = "given"   // by an Idempotency-Key
-	kindDerived = "derived" // from the execution that makes the call
+	kindGiven   = "given"   // from an Idempotency-Key
+	kindDerived = "derived" // from the user request or the execution that makes the call
 )
 
-// identify sets the key and the fingerprint of a call.
+// identify sets the claim key of a call.
 //
-// With an Idempotency-Key, the same key for the same operation is the same
-// call, whoever repeats it. Credentials and the tenant count, so that nobody gets the
-// answer of another caller who happened to choose the same key.
+// Calls with the same Idempotency-Key for the same operation get the same claim key. Credentials
+// and the tenant are part of it, so that callers who choose the same key don't get each other's
+// answers.
 //
-// Without one, a call of a back end is named after the execution that makes
-// it: the same call of a repeated execution gets the same key.
+// Without an Idempotency-Key, a call of a back end gets a claim key derived from the execution that
+// makes it, so that a repeated execution makes calls with the same claim keys. Other calls get one
+// derived from the user request.
 func identify(call *kernel.Call) {
 	target := call.URL.RequestURI()
 	_, buffered := call.Body.Buffered()
 	given := call.Header.Get(wire.HeaderIdempotencyKey)
 	switch {
 	case given != "":
-		call.ClaimKey = claims.NewKey(kindGiven, call.Service, call.Method, target, given, callerOf(call))
+		call.ClaimKey = claims.NewKey(kindGiven, call.Service, call.Method, target, given, callerIdentity(call))
 	case call.Execution == nil:
 		call.ClaimKey = claims.NewKey(kindDerived, call.Request, call.Service, call.Method, target)
 	case buffered:
 		call.ClaimKey = executionKey(call, target, strconv.FormatUint(call.Fingerprint, 16))
-	default: // the length has to stand for the content
+	default: // a streamed body has no fingerprint, so its length is used
 		call.ClaimKey = executionKey(call, target, "streamed "+call.Header.Get("Content-Length"))
 	}
 }
 
-// callerOf tells callers apart who may choose the same keys.
-func callerOf(call *kernel.Call) string {
+// callerIdentity returns a string that distinguishes callers who choose the same key.
+func callerIdentity(call *kernel.Call) string {
 	credentials := call.Header.Get("Authorization")
 	if call.Tenant == "" {
 		return credentials
@@ -84,8 +85,8 @@
 	return credentials + " of " + call.Tenant
 }
 
-// executionKey names a call after the execution that makes it, its content and
-// how many calls of the same content came before.
+// executionKey returns the claim key of a call by its execution, its content and the number of
+// earlier calls with the same content.
 func executionKey(call *kernel.Call, target, content string) claims.Key {
 	kind := xxhash.Sum64String(call.Service + " " + call.Method + " " + target + " " + content)
 	ordinal := call.Execution.Ordinal(kind)
--- a/plugin/tenant/authenticate.go
+++ b/plugin/tenant/authenticate.go
@@ -11,22 +11,23 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// clockDriftShare is the part of the revocation time that is kept for steady clocks that
-// run at different speeds: 1 in 50, far more than any does.
+// clockDriftShare is the share of the revocation time that is reserved for monotonic clocks that
+// run at different speeds. It is far above the drift of any real clock.
 const clockDriftShare = 0.02
 
-// maximumProofAge returns the age up to which the proof of a policy is good for its keys. A
-// request counts as sent when the caller sent it, before it is looked at here, so that
-// nothing has to be left for its way.
+// maximumProofAge returns the age up to which the proof of a policy is valid for its keys. The
+// revocation time limits when a caller may send a request, which is before the proof is checked, so
+// no time is reserved for the network.
 func maximumProofAge(revocation time.Duration) time.Duration {
 	return revocation - time.Duration(clockDriftShare*float64(revocation))
 }
 
-// authenticator decides on the callers of one process.
+// authenticator authenticates the callers of one process.
 type authenticator struct {
-	policy          func() *policy.Index
-	proof           func(now time.Time) (age time.Duration, known bool)
-	maximumProofAge time.Duration // 0: any age is good
+	policy func() *policy.Index
+	proof  func(now time.Time) (age time.Duration, known bool)
+	// Age up to which a proof is valid, 0 for no proof needed.
+	maximumProofAge time.Duration
 	writeTenant     func(header http.Header, tenant string)
 }
 
@@ -41,18 +42,18 @@
 	})
 }
 
-// authenticate sets the tenant of a call, and its priority by that of the tenant. It
-// returns a result.KeyUnknown error for a caller without a good key and a
-// result.KeysUnproven error while none can be told from one that was taken away.
+// authenticate sets the tenant of a call and its priority. On a route that needs a key, it returns a
+// result.KeyUnknown error if the caller has no valid key, and a result.KeysUnproven error if the
+// policy is not proven, so that a valid key can't be told from a revoked one.
 func (a *authenticator) authenticate(call *kernel.Call) error {
-	// Before the policy is read: a proof that comes later may be one of a newer policy.
+	// The proof must be read before the policy: a later proof might be that of a newer policy.
 	proof := a.readProof()
 	index := a.policy()
 	tenants := index.Tenants()
 	tenant := tenants.Find(call.Credential)
 	if !call.Policy.Public && tenants.Required() {
-		if !proof.holds {
-			return proof.missing(index)
+		if !proof.valid {
+			return proof.refusal(index)
 		}
 		if tenant == nil {
 			return result.New(result.KeyUnknown, "revision %d has no tenant with the key of this request, and its route is not public", index.Revision())
@@ -69,6 +70,8 @@
 	return nil
 }
 
+// rankedPriority returns the priority of a call by the class of its tenant and then that of its
+// route. A tenant without a class has that of the route.
 func rankedPriority(call *kernel.Call, tenant *policy.Tenant) int {
 	class := call.Policy.Class
 	if tenant.Class != nil {
@@ -77,23 +80,24 @@
 	return admission.RankedPriority(int(class), int(call.Policy.Class), call.Request)
 }
 
-// proof is what is known of how new the policy is.
+// proof is the proof that the policy was the newest one some time ago.
 type proof struct {
 	age   time.Duration
 	known bool
-	holds bool // keys may be trusted by it
+	// Whether the proof is recent enough to trust the keys of the policy.
+	valid bool
 }
 
 func (a *authenticator) readProof() proof {
 	if a.maximumProofAge <= 0 {
-		return proof{holds: true}
+		return proof{valid: true}
 	}
 	age, known := a.proof(clock.Now().Time())
-	return proof{age: age, known: known, holds: known && age <= a.maximumProofAge}
+	return proof{age: age, known: known, valid: known && age <= a.maximumProofAge}
 }
 
-// missing is the refusal of a request with a key while no proof holds.
-func (p proof) missing(index *policy.Index) error {
+// refusal returns the error for requests that need a key while the proof is not valid.
+func (p proof) refusal(index *policy.Index) error {
 	return result.New(result.KeysUnproven, "it is not known whether revision %d is still in force: last proven %s ago (ever: %t)",
 		index.Revision(), p.age.Round(time.Millisecond), p.known).WithUsualRetryAfter()
 }
--- a/plugin/tenant/setup.go
+++ b/plugin/tenant/setup.go
@@ -1,13 +1,13 @@
 // Package tenant authenticates callers: it finds the tenant whose key a caller presents, and
-// passes its name to the back end. Where keys are required, a caller without a valid one is
-// refused.
+// passes the tenant's name to the back end. If the policy requires keys, it refuses callers without
+// a valid key, except on public routes.
 //
-// A process that cannot prove that its policy was the newest one a moment ago does not know
-// which keys were revoked since. It refuses requests with keys until it can; public routes
-// and the calls of its back end go on.
+// A process that can't prove that its policy was recently the newest one doesn't know which keys
+// have been revoked. It refuses requests that need a key until it has a proof. Requests on public
+// routes and calls of its back end are still accepted.
 //
-// It owns no state. It relies on the policy for tenants and the digests of their keys, and
-// on plugin configsync for the proof.
+// It owns no state. It relies on the policy for tenants and the digests of their keys, and on
+// plug-in configsync for the proof.
 package tenant
 
 import "github.com/loomcleat/loomcleat/kernel"
--- a/plugin/tenant/tenant_test.go
+++ b/plugin/tenant/tenant_test.go
@@ -17,8 +17,8 @@
 
 const revocation = 5 * time.Second
 
-// newAuthenticator returns one whose policy was proven the given time ago, negative for
-// never.
+// newAuthenticator returns an authenticator whose policy was proven age ago, or never if age is
+// negative.
 func newAuthenticator(document *policy.Document, age time.Duration) *authenticator {
 	index := policy.NewIndex(document)
 	dialect := wire.Dialect{}
@@ -38,27 +38,31 @@
 	}}
 }
 
-func TestWhoIsLetIn(t *testing.T) {
-	const fresh, old, never = time.Second, revocation, time.Duration(-1)
+// TestAuthenticate guards against accepting a caller without a valid key, and against leaking keys
+// in errors.
+func TestAuthenticate(t *testing.T) {
+	const recent, old, never = time.Second, revocation, time.Duration(-1)
 	cases := []struct {
-		name   string
-		call   kernel.Call
-		age    time.Duration
-		code   result.Code // 0: the call goes on
+		name string
+		call kernel.Call
+		// Age of the proof of the policy.
+		age time.Duration
+		// 0 if the call is accepted.
+		code   result.Code
 		tenant string
 	}{
-		{"a good key", kernel.Call{External: true, Credential: "secret-2"}, fresh, 0, "usual"},
-		{"an unknown key", kernel.Call{External: true, Credential: "secret-3"}, fresh, result.KeyUnknown, ""},
-		{"no key", kernel.Call{External: true}, fresh, result.KeyUnknown, ""},
-		{"a good key under an old policy", kernel.Call{External: true, Credential: "secret-2"}, old, result.KeysUnproven, ""},
-		{"an unknown key under an old policy", kernel.Call{External: true, Credential: "secret-3"}, old, result.KeysUnproven, ""},
-		{"a good key under a policy that was never proven", kernel.Call{External: true, Credential: "secret-2"}, never, result.KeysUnproven, ""},
-		{"a public route without a key", kernel.Call{External: true, Policy: policy.Effective{Public: true}}, old, 0, ""},
-		{"a public route with an unknown key", kernel.Call{External: true, Credential: "secret-3", Policy: policy.Effective{Public: true}}, old, 0, ""},
-		{"a public route with a key", kernel.Call{External: true, Credential: "secret-2", Policy: policy.Effective{Public: true}}, old, 0, "usual"},
-		{"a call of the back end", kernel.Call{}, old, 0, ""},
-		{"a call that seems to be of the back end", kernel.Call{ParentGuessed: true}, fresh, result.KeyUnknown, ""},
-		{"the same on a public route", kernel.Call{ParentGuessed: true, Policy: policy.Effective{Public: true}}, old, 0, ""},
+		{"valid key", kernel.Call{External: true, Credential: "secret-2"}, recent, 0, "usual"},
+		{"unknown key", kernel.Call{External: true, Credential: "secret-3"}, recent, result.KeyUnknown, ""},
+		{"no key", kernel.Call{External: true}, recent, result.KeyUnknown, ""},
+		{"valid key, old proof", kernel.Call{External: true, Credential: "secret-2"}, old, result.KeysUnproven, ""},
+		{"unknown key, old proof", kernel.Call{External: true, Credential: "secret-3"}, old, result.KeysUnproven, ""},
+		{"valid key, no proof", kernel.Call{External: true, Credential: "secret-2"}, never, result.KeysUnproven, ""},
+		{"public route, no key", kernel.Call{External: true, Policy: policy.Effective{Public: true}}, old, 0, ""},
+		{"public route, unknown key", kernel.Call{External: true, Credential: "secret-3", Policy: policy.Effective{Public: true}}, old, 0, ""},
+		{"public route, valid key", kernel.Call{External: true, Credential: "secret-2", Policy: policy.Effective{Public: true}}, old, 0, "usual"},
+		{"call of the back end", kernel.Call{}, old, 0, ""},
+		{"guessed call of the back end", kernel.Call{ParentGuessed: true}, recent, result.KeyUnknown, ""},
+		{"guessed call of the back end, public route", kernel.Call{ParentGuessed: true, Policy: policy.Effective{Public: true}}, old, 0, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,13 +84,15 @@
 			}
 			typed := result.From(err)
 			is.Equal(typed.Code, c.code)
-			is.True(!strings.Contains(typed.Error(), "secret")) // keys are in no message
+			is.True(!strings.Contains(typed.Error(), "secret")) // messages contain no keys
 			is.Equal(typed.RetryAfter > 0, c.code == result.KeysUnproven)
 		})
 	}
 }
 
-func TestThePriorityOfATenantGoesBeforeThatOfTheRoute(t *testing.T) {
+// TestTenantClassTakesPrecedence guards against ordering requests by the class of the route before
+// that of the tenant.
+func TestTenantClassTakesPrecedence(t *testing.T) {
 	is := is.New(t)
 	a := newAuthenticator(keyedPolicy(), 0)
 	priority := func(key string, class policy.Class) int {
@@ -102,8 +108,9 @@
 	is.Equal(admission.ClassOf(priority(urgent, policy.Bulk)), int(policy.Critical))
 }
 
-// TestTenantsOfOneClassAreOrderedByTheRoute: their class must not level the routes.
-func TestTenantsOfOneClassAreOrderedByTheRoute(t *testing.T) {
+// TestRouteClassOrdersTenantsOfOneClass guards against losing the order of routes when all tenants
+// have the same class.
+func TestRouteClassOrdersTenantsOfOneClass(t *testing.T) {
 	is := is.New(t)
 	document := keyedPolicy()
 	document.Tenants[1].Class = document.Tenants[0].Class
@@ -112,24 +119,25 @@
 	is.Equal(call.Priority, 3)
 }
 
-// TestNoKeyOutlivesItsRevocation: a request that was sent later than the revocation time
-// after a key was taken away is never let in, since its policy was proven before that.
-func TestNoKeyOutlivesItsRevocation(t *testing.T) {
+// TestMaximumProofAge guards against accepting a key later than the revocation time after it was
+// revoked.
+func TestMaximumProofAge(t *testing.T) {
 	is := is.New(t)
 	is.True(maximumProofAge(revocation) < revocation)
 	is.Equal(maximumProofAge(0), time.Duration(0))
-	open := newAuthenticator(keyedPolicy(), time.Hour)
-	open.maximumProofAge = maximumProofAge(0) // nothing is promised of processes that are cut off
-	is.NoErr(open.authenticate(&kernel.Call{External: true, Credential: "secret-2", Header: http.Header{}}))
+	unlimited := newAuthenticator(keyedPolicy(), time.Hour)
+	unlimited.maximumProofAge = maximumProofAge(0) // no revocation time: no proof is needed
+	is.NoErr(unlimited.authenticate(&kernel.Call{External: true, Credential: "secret-2", Header: http.Header{}}))
 }
 
-func TestWithoutTenantsEverybodyIsLetIn(t *testing.T) {
+// TestNoTenants checks that all callers are accepted if the policy has no tenants.
+func TestNoTenants(t *testing.T) {
 	is := is.New(t)
 	a := newAuthenticator(nil, -1)
 	is.NoErr(a.authenticate(&kernel.Call{External: true, Credential: "any", Header: http.Header{}}))
 }
 
-// BenchmarkAuthenticate measures what finding the tenant of a call adds to it.
+// BenchmarkAuthenticate measures the cost of authentication per call.
 func BenchmarkAuthenticate(b *testing.B) {
 	a := newAuthenticator(keyedPolicy(), 0)
 	header := http.Header{"Accept": {"*/*"}, "Host": {"shop.example"}}
@@ -142,8 +150,9 @@
 	}
 }
 
-// TestAProofOfANewerPolicySaysNothingOfAnOlderOne: it comes between two steps.
-func TestAProofOfANewerPolicySaysNothingOfAnOlderOne(t *testing.T) {
+// TestProofOfNewerPolicy guards against trusting the keys of an old policy by the proof of a newer
+// one that comes into force during authentication.
+func TestProofOfNewerPolicy(t *testing.T) {
 	is := is.New(t)
 	a := newAuthenticator(keyedPolicy(), 0)
 	index, wasRead := a.policy(), false
@@ -152,7 +161,7 @@
 		return index
 	}
 	a.proof = func(time.Time) (time.Duration, bool) {
-		if wasRead { // a newer policy is in force by now
+		if wasRead { // a newer policy is in force
 			return 0, true
 		}
 		return time.Hour, true
