--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// bucket is a token bucket that is filled by time.
+// bucket is a token bucket that is refilled over time.
 type bucket struct {
 	level   float64
 	updated time.Time
 }
 
-// fill adds what has come since the last time, up to a capacity.
+// fill adds the tokens for the time since the last call, up to the capacity.
 func (b *bucket) fill(now time.Time, rate, capacity float64) {
 	if elapsed := now.Sub(b.updated).Seconds(); elapsed > 0 {
 		b.level += rate * elapsed
@@ -26,14 +26,14 @@
 	return true
 }
 
-// wait returns the time until there is a token at a rate.
+// wait returns the time until a token is available at the given rate.
 func (b *bucket) wait(rate float64) time.Duration {
 	if rate <= 0 {
-		return longestWait
+		return maximumRetryAfter
 	}
 	seconds := max(1-b.level, 0) / rate
-	return min(time.Duration(seconds*float64(time.Second)), longestWait)
+	return min(time.Duration(seconds*float64(time.Second)), maximumRetryAfter)
 }
 
-// longestWait bounds the wait that a refused caller is told.
-const longestWait = time.Minute
+// maximumRetryAfter bounds the waiting time that is reported to refused callers.
+const maximumRetryAfter = time.Minute
--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -2,36 +2,43 @@
 
 import "time"
 
-// Coordinator adds up what all processes of a mesh use of the quotas, and answers which
+// Coordinator sums the usage of quotas over all processes of a mesh and determines which
 // tenants to throttle. It is not safe for concurrent use.
 type Coordinator struct {
-	config    Config
-	processes float64              // that share the quotas
-	quotas    map[string]Quota     // by tenant
-	reported  map[string]time.Time // by process: its last report
-	tenants   map[string]*usage    // by tenant, of those with a quota that were reported
-	throttled map[string]*usage    // those of which only a share is admitted
-	begun     time.Time            // the first report, zero: none yet
+	config Config
+	// Number of processes that share the quotas.
+	processes float64
+	// By tenant.
+	quotas map[string]Quota
+	// Time of the last report, by process.
+	lastReport map[string]time.Time
+	// Usage by tenant, for tenants that have a quota and appeared in a report.
+	tenants map[string]*usage
+	// The subset of tenants of which only a share of the requests is admitted.
+	throttled map[string]*usage
+	// Time of the first report, zero before it.
+	firstReport time.Time
 }
 
-// usage is what a Coordinator knows of the requests of one tenant.
+// usage is a Coordinator's view of the requests of one tenant.
 type usage struct {
-	room   bucket // what is left of the quota; below 0 where it was exceeded
-	demand demand
+	// Remaining quota in requests, negative after the quota was exceeded.
+	remaining bucket
+	demand    demand
 }
 
-// NewCoordinator returns a Coordinator that has no report yet.
+// NewCoordinator returns a Coordinator that has not received a report yet.
 func NewCoordinator(config Config) *Coordinator {
 	return &Coordinator{
-		config:    config,
-		processes: 1,
-		reported:  map[string]time.Time{},
-		tenants:   map[string]*usage{},
-		throttled: map[string]*usage{},
+		config:     config,
+		processes:  1,
+		lastReport: map[string]time.Time{},
+		tenants:    map[string]*usage{},
+		throttled:  map[string]*usage{},
 	}
 }
 
-// SetQuotas puts the quotas of a policy in force. Tenants without one are not listed.
+// SetQuotas replaces the quotas by those of a policy. Tenants without a quota are not listed.
 func (c *Coordinator) SetQuotas(quotas map[string]Quota) {
 	c.quotas = quotas
 	for tenant := range c.tenants {
@@ -42,57 +49,58 @@
 	}
 }
 
-// SetProcesses sets the number of processes that share the quotas, with those that may be
-// cut off. Too high a number is safe, too low a one is not.
+// SetProcesses sets the number of processes that share the quotas, including processes that
+// may be cut off. Too high a number is safe: less is admitted. Too low a number lets tenants
+// exceed their quotas.
 func (c *Coordinator) SetProcesses(processes int) { c.processes = float64(max(processes, 1)) }
 
-// Receive takes a report and answers it.
+// Receive processes a report and returns the answer to it.
 func (c *Coordinator) Receive(now time.Time, report Report) Answer {
-	if report.Alone {
-		delete(c.reported, report.Process) // it may not hear this answer either
+	if report.UsesEqualShares {
+		delete(c.lastReport, report.Process) // the process may not receive this answer either
 	} else {
-		c.reported[report.Process] = now
+		c.lastReport[report.Process] = now
 	}
-	part := c.part(now)
+	reportingShare := c.reportingShare(now)
 	settling := c.settling(now)
 	for _, used := range report.Usage {
-		quota, bounded := c.quotas[used.Tenant]
-		if !bounded {
-			continue // of a policy that this process does not have yet, or no more
+		quota, hasQuota := c.quotas[used.Tenant]
+		if !hasQuota {
+			continue // the quota is in a policy that this process does not have yet or no longer has
 		}
-		tenant := c.findOrAdd(now, used, quota, part)
-		tenant.fill(now, quota, part)
-		tenant.room.level -= float64(used.Admitted)
+		tenant := c.findOrAdd(now, used, quota, reportingShare)
+		tenant.fill(now, quota, reportingShare)
+		tenant.remaining.level -= float64(used.Admitted)
 		tenant.demand.add(now, float64(used.Offered))
-		if c.isNear(tenant, quota, part) && (used.Throttled || !settling) {
+		if c.isNearQuota(tenant, quota, reportingShare) && (used.Throttled || !settling) {
 			c.throttled[used.Tenant] = tenant
 		}
 	}
-	return Answer{Shares: c.shares(now, part), Again: settling}
+	return Answer{Shares: c.shares(now, reportingShare), Again: settling}
 }
 
-// settling reports whether the Coordinator is so new that it cannot judge: while few
-// processes have reported, it gives out a small part of each quota, of which the requests of
-// one report may be more. It asks for another report then, and throttles only tenants that
-// were throttled already, as the reports say.
+// settling reports whether the Coordinator is too new to judge. While few processes have
+// reported, it distributes a small share of each quota, and the requests in a single report
+// may exceed that. It therefore asks for another report soon, and throttles only tenants
+// that the reporting processes already throttle.
 func (c *Coordinator) settling(now time.Time) bool {
-	if c.begun.IsZero() {
-		c.begun = now
+	if c.firstReport.IsZero() {
+		c.firstReport = now
 	}
-	return now.Sub(c.begun) < c.config.Interval/settleDivisor
+	return now.Sub(c.firstReport) < c.config.Interval/settleDivisor
 }
 
-// settleDivisor makes the time in which a new Coordinator settles half an interval. All
-// processes turn to it within some ten milliseconds after the one before has failed.
+// settleDivisor makes the settling time half an interval: after a coordinator has failed,
+// all processes report to the next one well within that time.
 const settleDivisor = 2
 
-// part returns the part of the quotas that this Coordinator gives out: the equal shares of
-// the processes that report to it. All others keep to their own.
-func (c *Coordinator) part(now time.Time) float64 {
+// reportingShare returns the share of the quotas that this Coordinator distributes: the equal
+// shares of the processes that report to it. All other processes use their own equal shares.
+func (c *Coordinator) reportingShare(now time.Time) float64 {
 	reporting := 0
-	for process, last := range c.reported {
-		if now.Sub(last) > c.config.silence() {
-			delete(c.reported, process)
+	for process, last := range c.lastReport {
+		if now.Sub(last) > c.config.silenceTimeout() {
+			delete(c.lastReport, process)
 			continue
 		}
 		reporting++
@@ -100,28 +108,31 @@
 	return min(float64(reporting)/c.processes, 1)
 }
 
-// findOrAdd returns what is known of a tenant. One that is new here may have used its burst
-// already, which another coordinator knew: processes that throttle it say so.
-func (c *Coordinator) findOrAdd(now time.Time, used Usage, quota Quota, part float64) *usage {
+// findOrAdd returns the usage of a tenant. A tenant that is new to this Coordinator may
+// already have used its burst under another coordinator; processes that throttle the tenant
+// report that, and it then starts without a burst.
+func (c *Coordinator) findOrAdd(now time.Time, used Usage, quota Quota, reportingShare float64) *usage {
 	if known, exists := c.tenants[used.Tenant]; exists {
 		return known
 	}
-	added := &usage{room: bucket{updated: now}}
+	added := &usage{remaining: bucket{updated: now}}
 	if !used.Throttled {
-		added.room.level = firstRoom * capacity(quota, part)
+		added.remaining.level = initialBurstShare * capacity(quota, reportingShare)
 	}
 	c.tenants[used.Tenant] = added
 	return added
 }
 
-// firstRoom is the part of its burst that a tenant has at a new coordinator. The one
-// before may have let it use the rest a moment ago.
-const firstRoom = 0.5
+// initialBurstShare is the share of its burst that a tenant starts with at a new coordinator.
+// The rest may have been used under the previous coordinator.
+const initialBurstShare = 0.5
 
-// fill adds to the room of a tenant what has come with its rate.
-func (u *usage) fill(now time.Time, quota Quota, part float64) {
-	u.room.fill(now, quota.Rate*part, capacity(quota, part))
+// fill refills the remaining quota of a tenant at its rate.
+func (u *usage) fill(now time.Time, quota Quota, reportingShare float64) {
+	u.remaining.fill(now, quota.Rate*reportingShare, capacity(quota, reportingShare))
 }
 
-// capacity is the most room that a tenant can have, in requests.
-func capacity(quota Quota, part float64) float64 { return max(quota.Burst, 1) * part }
+// capacity returns the maximum remaining quota of a tenant, in requests.
+func capacity(quota Quota, reportingShare float64) float64 {
+	return max(quota.Burst, 1) * reportingShare
+}
--- a/quota/decision.go
+++ b/quota/decision.go
@@ -2,33 +2,37 @@
 
 import "time"
 
-// Decision says what becomes of a request.
+// Decision is the result of checking a request against the quota of its tenant.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is the time after which a refused caller may find room, 0 when that is
-	// not known.
+	// RetryAfter is the time after which a refused caller may succeed, 0 if unknown.
 	RetryAfter time.Duration
-	// Report asks for a report at once: much is unreported.
+	// Report requests an immediate report, since many requests are unreported.
 	Report bool
-	// Basis is what decided.
+	// Basis is the rule that decided.
 	Basis Basis
 }
 
-// Basis is what a Decision rests on. Refused callers are told it.
+// Basis names the rule behind a Decision. Its text is shown to refused callers.
 type Basis string
 
 // Bases of decisions.
 const (
-	Unbounded   Basis = "unbounded"    // the tenant has no quota
-	WithinQuota Basis = "within-pool"  // the coordinator says that there is room
-	ShareOfAll  Basis = "share-of-all" // a share of all requests, as the coordinator says
-	OwnShare    Basis = "own-share"    // the equal share of this process: nobody answers, or much is unreported
+	// The tenant has no quota.
+	Unbounded Basis = "unbounded"
+	// The coordinator does not throttle the tenant.
+	WithinQuota Basis = "within-pool"
+	// The coordinator throttles the tenant to a share of its requests.
+	CoordinatedShare Basis = "share-of-all"
+	// The equal share of this process applies: no coordinator answers, or too many requests
+	// are unreported.
+	EqualShare Basis = "own-share"
 )
 
 // Admit decides on a request of a tenant and counts it.
 func (l *Ledger) Admit(now time.Time, tenant string) Decision {
-	a, bounded := l.accounts[tenant]
-	if !bounded {
+	a, hasQuota := l.accounts[tenant]
+	if !hasQuota {
 		return Decision{Admitted: true, Basis: Unbounded}
 	}
 	a.offered++
@@ -37,77 +41,77 @@
 		a.unreported++
 	}
 	a.recent.add(now, l.config.Window, decision.Admitted)
-	decision.Report = a.unreported >= l.reportAt(a)
+	decision.Report = a.unreported >= l.reportThreshold(a)
 	return decision
 }
 
-// decide is the rule for a request of a tenant with a quota:
+// decide applies the rule for a request of a tenant with a quota:
 //
-//	the coordinator does not answer, or too much is unreported    by the equal share
-//	the coordinator lists the tenant as near its quota            by the share that it gives
-//	otherwise                                                     admitted
+//	no coordinator answers, or too many requests are unreported   limit to the equal share
+//	the coordinator throttles the tenant                          admit the share that it sent
+//	otherwise                                                     admit
 //
-// The equal share is a bucket of 1/processes of the quota's rate and burst. By the share of
-// the coordinator, every 1/share-th request is admitted.
+// The equal share is a token bucket with 1/processes of the quota's rate and burst. Under a
+// coordinator's share, one request in 1/share is admitted.
 func (l *Ledger) decide(now time.Time, a *account) Decision {
-	a.ownShare.fill(now, l.ownRate(a), l.ownCapacity(a)) // also while it does not decide
-	if l.mustUseOwnShare(now, a) {
-		l.beginOwnShare(a)
-		return Decision{Admitted: a.ownShare.take(), Basis: OwnShare, RetryAfter: a.ownShare.wait(l.ownRate(a))}
+	a.equalShare.fill(now, l.equalRate(a), l.equalCapacity(a)) // kept filled while it is not in use
+	if l.mustUseEqualShare(now, a) {
+		l.beginEqualShare(a)
+		return Decision{Admitted: a.equalShare.take(), Basis: EqualShare, RetryAfter: a.equalShare.wait(l.equalRate(a))}
 	}
-	a.onOwnShare = false
-	if a.admit >= 1 {
+	a.usesEqualShare = false
+	if a.admitShare >= 1 {
 		return Decision{Admitted: true, Basis: WithinQuota}
 	}
-	a.credit += a.admit
+	a.credit += a.admitShare
 	if a.credit < 1 {
-		return Decision{Basis: ShareOfAll}
+		return Decision{Basis: CoordinatedShare}
 	}
 	a.credit--
-	return Decision{Admitted: true, Basis: ShareOfAll}
+	return Decision{Admitted: true, Basis: CoordinatedShare}
 }
 
-// Bounds of what is admitted without an answer.
+// Limits for requests admitted without an answer.
 const (
-	// leastUnreported is the least number of requests of a tenant at which a process
-	// reports ahead of time. With fewer, each request of the many small tenants would
-	// make a report.
-	leastUnreported = 3
-	// unansweredReports is how many times reportAt may be admitted without an answer, for
-	// reports that are on their way.
+	// minimumReportThreshold is the minimum of reportThreshold. With a lower one, each
+	// request of the many small tenants would cause a report.
+	minimumReportThreshold = 3
+	// unansweredReports is the number of reportThresholds that may be admitted without an
+	// answer, to allow for reports in flight.
 	unansweredReports = 2
-	// fallbackTolerance is the part of the tolerance that is for processes which fall back
+	// fallbackTolerance is the share of the tolerance reserved for processes that fall back
 	// to their equal shares.
 	fallbackTolerance = 0.3
 )
 
-// mustUseOwnShare reports whether the word of the coordinator does not count: the last
-// report failed, the last answer is too old, or too much was admitted since.
-func (l *Ledger) mustUseOwnShare(now time.Time, a *account) bool {
-	unanswered := a.unreported >= unansweredReports*l.reportAt(a)
+// mustUseEqualShare reports whether the coordinator's answer no longer applies: the last
+// report failed, the last answer is too old, or too many requests were admitted since.
+func (l *Ledger) mustUseEqualShare(now time.Time, a *account) bool {
+	unanswered := a.unreported >= unansweredReports*l.reportThreshold(a)
 	return l.failed || l.CutOff(now) || unanswered
 }
 
-// beginOwnShare bounds what a process admits at once when it falls back to its equal share:
-// its part of the burst, and of fallbackTolerance. Of a small tenant that is less than one
-// request, which some processes admit by chance.
-func (l *Ledger) beginOwnShare(a *account) {
-	if a.onOwnShare {
+// beginEqualShare limits the requests that a process admits at once when it falls back to its
+// equal share: to its part of the burst and of fallbackTolerance. For a small tenant this is
+// less than one request, so a random number decides whether the process admits one.
+func (l *Ledger) beginEqualShare(a *account) {
+	if a.usesEqualShare {
 		return
 	}
-	a.onOwnShare = true
+	a.usesEqualShare = true
 	atOnce := (a.quota.Burst + fallbackTolerance*l.config.tolerance(a.quota)) / l.processes
-	a.ownShare.level = min(a.ownShare.level, atOnce+a.random.Float64())
+	a.equalShare.level = min(a.equalShare.level, atOnce+a.random.Float64())
 }
 
-// ownRate is the rate of the equal share, in requests a second.
-func (l *Ledger) ownRate(a *account) float64 { return a.quota.Rate / l.processes }
+// equalRate returns the rate of the equal share, in requests per second.
+func (l *Ledger) equalRate(a *account) float64 { return a.quota.Rate / l.processes }
 
-// ownCapacity is the burst of the equal share, rounded up: of a small tenant, one request.
-func (l *Ledger) ownCapacity(a *account) float64 { return a.quota.Burst/l.processes + 1 }
+// equalCapacity returns the burst of the equal share plus one request, since the share of a
+// small tenant is less than one.
+func (l *Ledger) equalCapacity(a *account) float64 { return a.quota.Burst/l.processes + 1 }
 
-// reportAt is the number of unreported requests at which a process reports ahead of time:
-// if all processes admit so many, the tolerance is used up.
-func (l *Ledger) reportAt(a *account) int {
-	return max(int(l.config.tolerance(a.quota)/l.processes), leastUnreported)
+// reportThreshold returns the number of unreported requests at which a process reports ahead
+// of time. If every process admits that many, the tolerance is used up.
+func (l *Ledger) reportThreshold(a *account) int {
+	return max(int(l.config.tolerance(a.quota)/l.processes), minimumReportThreshold)
 }
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// demand estimates the rate of requests from batches of them: over a second, and over a
-// quarter of one, which finds a jump sooner. The short one counts where it is higher by
-// more than chance makes it.
+// demand estimates a request rate from batches of requests, as the maximum of two
+// exponentially decaying counts: a slow one, and a fast one that detects a jump sooner. The
+// fast one is reduced by its statistical uncertainty.
 type demand struct {
-	slow, fast float64 // requests, each weighted by its age
+	// Numbers of requests, each weighted by its age.
+	slow, fast float64
 	updated    time.Time
 }
 
-// Times over which a request loses its weight, in seconds.
+// Time constants of the decay, in seconds.
 const (
 	slowTime = 1.0
 	fastTime = 0.25
 )
 
-// jumpDeviations is the number of standard deviations of the short estimate that are taken
-// off it, for what chance may have added.
+// jumpDeviations is the number of standard deviations subtracted from the fast estimate, so
+// that random fluctuations do not count as a jump.
 const jumpDeviations = 2
 
 func (d *demand) decay(now time.Time) {
@@ -37,8 +38,8 @@
 	d.fast += requests
 }
 
-// rate returns the demand in requests a second.
+// rate returns the demand in requests per second.
 func (d *demand) rate() float64 {
-	surely := max(d.fast-jumpDeviations*math.Sqrt(d.fast/2), 0)
-	return max(d.slow/slowTime, surely/fastTime)
+	fastLowerBound := max(d.fast-jumpDeviations*math.Sqrt(d.fast/2), 0)
+	return max(d.slow/slowTime, fastLowerBound/fastTime)
 }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,22 +1,21 @@
-// Package quota holds the requests of tenants within their quotas over all processes of
-// a mesh together.
+// Package quota enforces the request quotas of tenants across all processes of a mesh.
 //
-// Each process has a Ledger, which admits the requests that enter there and counts them.
-// One process, the coordinator, answers with a Coordinator: all others report to it what
-// they admitted and what was requested of them, and are told which tenants are near their
-// quota and which share of their requests to admit. Any process can take the role at any
-// time, since a Coordinator needs nothing but reports.
+// Each process has a Ledger, which admits or refuses the requests that enter the mesh at that
+// process and counts them. One process is the coordinator and runs a Coordinator: every
+// process reports to it the requests that it admitted and was offered, and receives the
+// tenants that are near their quota and the share of their requests to admit. Any process can
+// become the coordinator at any time, since a Coordinator rebuilds its state from reports.
 //
-// Most tenants are far from their quota most of the time. So a process admits what is
-// requested, as long as little of it is unreported; a tenant that sends much makes
-// reports more frequent by itself. What is admitted between two reports is covered by
-// the overshoot that a Config allows.
+// Most tenants are far from their quota most of the time. A process therefore admits requests
+// without asking, as long as few of them are unreported; a tenant that sends many requests
+// causes more frequent reports. The overshoot that Config allows covers the requests admitted
+// between two reports.
 //
-// No request waits for a message. A process that is not answered keeps to an equal share of
-// each quota, and a Coordinator gives out the shares of the processes that report to it and
-// no others. So the shares in use add up to one quota however the mesh is cut, also while
-// two processes take the role.
+// No request waits for a message. A process whose reports are not answered limits each tenant
+// to an equal share of its quota, and a Coordinator distributes only the shares of the
+// processes that report to it. The shares in use therefore never add up to more than one
+// quota, even if the mesh is partitioned or two processes act as coordinator.
 //
-// The package owns the counts of one process and the rules, in memory. It does no I/O and
-// reads no clock: plugin/quota carries the reports, counts processes and passes the time.
+// The package holds the counters of one process in memory and the rules. It does no I/O and
+// reads no clock: plugin/quota sends the reports, counts the processes and passes the time.
 package quota
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -7,38 +7,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ledger admits the requests that tenants make at one process. It is not safe for
+// Ledger admits or refuses the requests that tenants make at one process. It is not safe for
 // concurrent use.
 type Ledger struct {
-	config    Config
-	seed      uint64
-	processes float64             // that share the quotas
-	accounts  map[string]*account // by tenant, of those with a quota
-	reporting map[string]Usage    // in the report that is on its way
-	answered  time.Time           // when the last report that was answered was sent, zero: none yet
-	failed    bool                // the last report was not answered
+	config Config
+	seed   uint64
+	// Number of processes that share the quotas.
+	processes float64
+	// By tenant, for tenants with a quota.
+	accounts map[string]*account
+	// Contents of the report in flight, by tenant.
+	reporting map[string]Usage
+	// Sending time of the last report that was answered, zero before the first answer.
+	lastAnswered time.Time
+	// Whether the last report failed.
+	failed bool
 }
 
-// account is what a Ledger knows of one tenant.
+// account holds the counters and the throttling state of one tenant.
 type account struct {
-	quota      Quota
-	unreported int     // admitted requests that are in no answered report
-	offered    int     // the same of all requests
-	admit      float64 // share of the requests to admit, as the coordinator says
-	credit     float64 // collects admit with each request; one is admitted at 1
-	ownShare   bucket  // the equal share of this process
-	onOwnShare bool    // the last request was decided by it
-	random     *rand.Rand
-	recent     tally
+	quota Quota
+	// Admitted requests not yet in an answered report.
+	unreported int
+	// All requests not yet in an answered report, refused ones included.
+	offered int
+	// Share of the requests to admit, as set by the coordinator.
+	admitShare float64
+	// Accumulates admitShare with each request. At 1, a request is admitted and 1 subtracted.
+	credit float64
+	// Token bucket of this process's equal share.
+	equalShare bucket
+	// Whether the last request was decided by the equal share.
+	usesEqualShare bool
+	random         *rand.Rand
+	recent         tally
 }
 
-// NewLedger returns a Ledger of a process that has heard nothing yet. seed is that of its
-// random choices, which must differ from those of other processes.
+// NewLedger returns a Ledger of a process whose reports have not been answered yet. The seed
+// of its random choices must differ between processes.
 func NewLedger(config Config, seed uint64) *Ledger {
 	return &Ledger{config: config, seed: seed, processes: 1, accounts: map[string]*account{}}
 }
 
-// SetQuotas puts the quotas of a policy in force. Tenants without one are not listed.
+// SetQuotas replaces the quotas by those of a policy. Tenants without a quota are not listed.
 func (l *Ledger) SetQuotas(now time.Time, quotas map[string]Quota) {
 	for tenant := range l.accounts {
 		if _, exists := quotas[tenant]; !exists {
@@ -50,69 +61,69 @@
 			known.quota = quota
 			continue
 		}
-		created := &account{quota: quota, admit: 1, ownShare: bucket{updated: now}}
+		created := &account{quota: quota, admitShare: 1, equalShare: bucket{updated: now}}
 		created.random = rand.New(rand.NewPCG(l.seed, xxhash.Sum64String(tenant)))
-		created.ownShare.level = l.ownCapacity(created)
+		created.equalShare.level = l.equalCapacity(created)
 		l.accounts[tenant] = created
 	}
 }
 
-// SetProcesses sets the number of processes that share the quotas. Too high a number is
-// safe, too low a one is not.
+// SetProcesses sets the number of processes that share the quotas. Too high a number is safe:
+// less is admitted. Too low a number lets tenants exceed their quotas.
 func (l *Ledger) SetProcesses(processes int) { l.processes = float64(max(processes, 1)) }
 
-// Refund takes back an admitted request that did not run.
+// Refund uncounts an admitted request that did not run.
 func (l *Ledger) Refund(tenant string) {
-	// One that was reported already is not given back: the tenant gets it with its rate.
-	if a, bounded := l.accounts[tenant]; bounded && a.unreported > 0 {
+	// A request that was already reported is not refunded; the rate of the quota makes up for it.
+	if a, hasQuota := l.accounts[tenant]; hasQuota && a.unreported > 0 {
 		a.unreported--
 	}
 }
 
 // AwaitsFirstAnswer reports whether no report has been answered yet, as in a process that
 // has just started.
-func (l *Ledger) AwaitsFirstAnswer() bool { return l.answered.IsZero() }
+func (l *Ledger) AwaitsFirstAnswer() bool { return l.lastAnswered.IsZero() }
 
-// CutOff reports whether the process has not been answered for so long that a coordinator
-// counts it as silent.
+// CutOff reports whether the last answer is so old, or missing, that a coordinator considers
+// this process silent.
 func (l *Ledger) CutOff(now time.Time) bool {
-	return l.answered.IsZero() || now.Sub(l.answered) > l.config.silence()
+	return l.lastAnswered.IsZero() || now.Sub(l.lastAnswered) > l.config.silenceTimeout()
 }
 
-// BeginReport returns what is to be reported. It must be ended by ReportAnswered or
-// ReportFailed before another one begins.
+// BeginReport returns the next report. ReportAnswered or ReportFailed must be called before
+// the next BeginReport.
 func (l *Ledger) BeginReport(process string) Report {
-	report := Report{Process: process, Alone: l.failed}
+	report := Report{Process: process, UsesEqualShares: l.failed}
 	l.reporting = map[string]Usage{}
 	for tenant, a := range l.accounts {
 		if a.offered == 0 && a.unreported == 0 {
 			continue
 		}
-		usage := Usage{Tenant: tenant, Admitted: a.unreported, Offered: a.offered, Throttled: a.admit < 1}
+		usage := Usage{Tenant: tenant, Admitted: a.unreported, Offered: a.offered, Throttled: a.admitShare < 1}
 		report.Usage = append(report.Usage, usage)
 		l.reporting[tenant] = usage
 	}
 	return report
 }
 
-// ReportAnswered ends a report that was answered. sent is when the report was sent. It
-// returns the tenants of which only a share is admitted from now on, and those of which
-// everything is again.
+// ReportAnswered completes the report in flight. sent is the time at which it was sent.
+// changed holds the tenants whose throttling begins, and those whose throttling ends, with a
+// share of 1.
 func (l *Ledger) ReportAnswered(sent time.Time, answer Answer) (changed []Share) {
 	l.failed = false
-	if !answer.Again || !l.answered.IsZero() {
-		// A process that has just started goes by its equal shares until its coordinator
-		// can judge: after a mass kill, nobody knows who is near a quota.
-		l.answered = sent
+	if !answer.Again || !l.lastAnswered.IsZero() {
+		// A process that has just started uses its equal shares until the coordinator has
+		// settled: after a mass failure, no process knows which tenants are near their quota.
+		l.lastAnswered = sent
 	}
-	l.settleReported()
+	l.subtractReported()
 	return l.setShares(answer.Shares)
 }
 
-// settleReported takes what an answered report said off the counts.
-func (l *Ledger) settleReported() {
+// subtractReported removes the contents of an answered report from the counters.
+func (l *Ledger) subtractReported() {
 	for tenant, usage := range l.reporting {
-		if a, bounded := l.accounts[tenant]; bounded {
+		if a, hasQuota := l.accounts[tenant]; hasQuota {
 			a.unreported = max(a.unreported-usage.Admitted, 0)
 			a.offered = max(a.offered-usage.Offered, 0)
 		}
@@ -120,27 +131,27 @@
 	l.reporting = nil
 }
 
-// setShares puts the shares of an answer in force and returns those that throttle a tenant
-// or end that.
+// setShares applies the shares of an answer and returns those by which the throttling of a
+// tenant begins or ends.
 func (l *Ledger) setShares(shares []Share) (changed []Share) {
 	admits := make(map[string]float64, len(shares))
 	for _, share := range shares {
 		admits[share.Tenant] = share.Admit
 	}
 	for tenant, a := range l.accounts {
-		admit, throttled := admits[tenant]
+		admitShare, throttled := admits[tenant]
 		if !throttled {
-			admit = 1
+			admitShare = 1
 		}
-		if (admit < 1) != (a.admit < 1) {
-			changed = append(changed, Share{Tenant: tenant, Admit: admit})
-			a.credit = a.random.Float64() // so that processes do not admit in step
+		if (admitShare < 1) != (a.admitShare < 1) {
+			changed = append(changed, Share{Tenant: tenant, Admit: admitShare})
+			a.credit = a.random.Float64() // desynchronizes the processes
 		}
-		a.admit = admit
+		a.admitShare = admitShare
 	}
 	return changed
 }
 
-// ReportFailed ends a report that was not answered. What it said is reported again; if it
-// had arrived, it counts twice, which refuses a little more than needed.
+// ReportFailed ends a report that was not answered. Its contents are reported again. If the
+// report did arrive, they count twice, and slightly more requests than necessary are refused.
 func (l *Ledger) ReportFailed() { l.reporting, l.failed = nil, true }
--- a/quota/mesh_test.go
+++ b/quota/mesh_test.go
@@ -8,214 +8,219 @@
 	"time"
 )
 
-// play is a mesh in virtual time: processes that admit the requests of tenants, report
-// to a coordinator, and are cut off, killed and frozen.
-type play struct {
+// simulation is a simulated mesh in virtual time. Its processes admit the requests of
+// tenants and report to a coordinator; faults partition, kill and freeze them.
+type simulation struct {
 	config    Config
 	processes int
 	tenants   map[string]Quota
-	demand    func(at time.Duration, tenant string) float64 // requests a second, of all processes
-	length    time.Duration
-	faults    []fault
-	seed      uint64
-	// delay is the time that a report and an answer each take at most.
+	// Total demand of a tenant over all processes, in requests per second.
+	demand func(at time.Duration, tenant string) float64
+	length time.Duration
+	faults []fault
+	seed   uint64
+	// Maximum delay of a report, and of an answer.
 	delay time.Duration
-	// alone switches reports off: each process keeps to its equal share.
-	alone bool
-	// stopsAfter is the time after which a process that is cut off admits nothing, 0: it
-	// goes on.
+	// Disables reports: each process uses its equal share.
+	withoutReports bool
+	// Time after which a partitioned process admits nothing, 0 for no such limit.
 	stopsAfter time.Duration
-	// measure counts the bytes of reports and answers.
+	// Counts the bytes of reports and answers.
 	measure bool
-	// weaken takes a safeguard from a process before each step. May be nil.
-	weaken func(*member)
+	// Disables a safeguard of a process before each step. May be nil.
+	disableSafeguard func(*member)
 }
 
-// fault strikes a part of the processes for a time.
+// fault affects a share of the processes for some time.
 type fault struct {
 	kind  faultKind
 	from  time.Duration
 	until time.Duration
-	share float64 // of the processes
-	first bool    // the coordinator is among them
+	// Share of the processes affected.
+	share float64
+	// Whether the coordinator is among them.
+	withCoordinator bool
 }
 
 type faultKind int
 
 const (
-	cut    faultKind = iota // nothing gets to them or from them
-	deaf                    // what they send arrives, nothing gets to them
-	killed                  // they are gone, and know nothing when they are back
-	frozen                  // they stand still, and so do their connections
+	partitioned faultKind = iota // no messages in either direction
+	inboundLost                  // outgoing messages arrive, incoming ones are lost
+	killed                       // stopped, and restarted without state at the end of the fault
+	frozen                       // suspended, and so are their connections
 )
 
-// outcome is what a play came to, by tenant.
+// outcome is the result of a simulation, by tenant.
 type outcome struct {
 	admitted map[string][]time.Duration
 	offered  map[string][]time.Duration
 	reports  int
-	bytes    int // of reports and answers as JSON, when they are measured
+	bytes    int // of reports and answers as JSON, if measured
 }
 
 const step = 10 * time.Millisecond
 
-// member is one process of a play.
+// member is one process of a simulation.
 type member struct {
 	ledger      *Ledger
 	coordinator *Coordinator
-	next        time.Duration // report
-	busy        time.Duration // a report is on its way until then
-	pending     func(now time.Time)
-	skipped     map[int]time.Duration // peers that did not answer
-	gone        bool
-	still       bool
-	cutSince    time.Duration
-	isCut       bool
-	isDeaf      bool
-	leastAhead  time.Duration
+	// Time of the next report.
+	nextReport time.Duration
+	// Time at which the report in flight completes, and its completion.
+	busyUntil time.Duration
+	pending   func(now time.Time)
+	// Members that did not answer, with the time until which they are avoided.
+	avoidedUntil     map[int]time.Duration
+	down             bool
+	paused           bool
+	partitionedSince time.Duration
+	isPartitioned    bool
+	losesInbound     bool
+	nextEarlyReport  time.Duration
 }
 
-var epoch = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func (p *play) run() outcome {
-	random := rand.New(rand.NewPCG(p.seed, 7))
+func (s *simulation) run() outcome {
+	random := rand.New(rand.NewPCG(s.seed, 7))
 	result := outcome{admitted: map[string][]time.Duration{}, offered: map[string][]time.Duration{}}
-	members := make([]*member, p.processes)
+	members := make([]*member, s.processes)
 	start := func(i int, at time.Duration) {
-		ledger, coordinator := NewLedger(p.config, random.Uint64()), NewCoordinator(p.config)
-		ledger.SetProcesses(p.processes)
-		coordinator.SetProcesses(p.processes)
-		ledger.SetQuotas(epoch.Add(at), p.tenants)
-		coordinator.SetQuotas(p.tenants)
-		members[i] = &member{ledger: ledger, coordinator: coordinator, skipped: map[int]time.Duration{},
-			next: at + time.Duration(random.Int64N(int64(p.config.Interval)))}
+		ledger, coordinator := NewLedger(s.config, random.Uint64()), NewCoordinator(s.config)
+		ledger.SetProcesses(s.processes)
+		coordinator.SetProcesses(s.processes)
+		ledger.SetQuotas(startTime.Add(at), s.tenants)
+		coordinator.SetQuotas(s.tenants)
+		members[i] = &member{ledger: ledger, coordinator: coordinator, avoidedUntil: map[int]time.Duration{},
+			nextReport: at + time.Duration(random.Int64N(int64(s.config.Interval)))}
 	}
 	for i := range members {
 		start(i, 0)
 	}
 	names := []string{}
-	for tenant := range p.tenants {
+	for tenant := range s.tenants {
 		names = append(names, tenant)
 	}
 	slices.Sort(names)
-	for at := time.Duration(0); at < p.length; at += step {
-		now := epoch.Add(at)
-		p.strike(members, at, start)
+	for at := time.Duration(0); at < s.length; at += step {
+		now := startTime.Add(at)
+		s.applyFaults(members, at, start)
 		for _, m := range members {
-			if p.weaken != nil {
-				p.weaken(m)
+			if s.disableSafeguard != nil {
+				s.disableSafeguard(m)
 			}
 		}
 		for _, tenant := range names {
-			mean := p.demand(at, tenant) * step.Seconds()
+			mean := s.demand(at, tenant) * step.Seconds()
 			for range poisson(random, mean) {
 				m := members[random.IntN(len(members))]
-				if m.gone || m.still {
+				if m.down || m.paused {
 					continue
 				}
 				result.offered[tenant] = append(result.offered[tenant], at)
-				if p.stopsAfter > 0 && m.isCut && at-m.cutSince > p.stopsAfter {
+				if s.stopsAfter > 0 && m.isPartitioned && at-m.partitionedSince > s.stopsAfter {
 					continue
 				}
 				decision := m.ledger.Admit(now, tenant)
 				if decision.Admitted {
 					result.admitted[tenant] = append(result.admitted[tenant], at)
 				}
-				if decision.Report && m.leastAhead <= at {
-					m.next = min(m.next, at)
-					m.leastAhead = at + reportPause
+				if decision.Report && m.nextEarlyReport <= at {
+					m.nextReport = min(m.nextReport, at)
+					m.nextEarlyReport = at + reportPause
 				}
 			}
 		}
-		if p.alone {
+		if s.withoutReports {
 			continue
 		}
 		for i, m := range members {
-			p.report(members, i, m, at, random, &result)
+			s.report(members, i, m, at, random, &result)
 		}
 	}
 	return result
 }
 
-// reportPause is the least time between two reports ahead of time.
+// reportPause is the minimum time between two reports ahead of time.
 const reportPause = 30 * time.Millisecond
 
-// strike begins and ends faults.
-func (p *play) strike(members []*member, at time.Duration, start func(int, time.Duration)) {
-	for _, f := range p.faults {
+// applyFaults begins and ends faults.
+func (s *simulation) applyFaults(members []*member, at time.Duration, start func(int, time.Duration)) {
+	for _, f := range s.faults {
 		count := int(f.share * float64(len(members)))
 		for i := range count {
-			struck := int(float64(i) / f.share) // spread over all ranks
-			if !f.first {
-				struck = len(members) - 1 - struck
+			affected := int(float64(i) / f.share) // evenly spread over the members
+			if !f.withCoordinator {
+				affected = len(members) - 1 - affected
 			}
-			m := members[struck]
+			m := members[affected]
 			begins, ends := at == f.from, at == f.until
 			if !begins && !ends {
 				continue
 			}
 			switch f.kind {
-			case cut:
-				m.isCut, m.cutSince = begins, at
-			case deaf:
-				m.isDeaf = begins
+			case partitioned:
+				m.isPartitioned, m.partitionedSince = begins, at
+			case inboundLost:
+				m.losesInbound = begins
 			case frozen:
-				m.still = begins
+				m.paused = begins
 			case killed:
-				m.gone = begins
+				m.down = begins
 				if ends {
-					start(struck, at)
-					members[struck].next = at // one that has just started reports at once
+					start(affected, at)
+					members[affected].nextReport = at // a restarted process reports at once
 				}
 			}
 		}
 	}
 }
 
-// report lets one process make a report, or end one.
-func (p *play) report(members []*member, self int, m *member, at time.Duration, random *rand.Rand, result *outcome) {
-	if m.gone || m.still {
+// report completes the report of one process that is due, and begins its next one.
+func (s *simulation) report(members []*member, self int, m *member, at time.Duration, random *rand.Rand, result *outcome) {
+	if m.down || m.paused {
 		return
 	}
-	if m.pending != nil && at >= m.busy {
-		ended := m.pending
+	if m.pending != nil && at >= m.busyUntil {
+		complete := m.pending
 		m.pending = nil
-		ended(epoch.Add(at))
+		complete(startTime.Add(at))
 	}
-	if m.pending != nil || at < m.next {
+	if m.pending != nil || at < m.nextReport {
 		return
 	}
-	m.next = at + p.config.Interval
+	m.nextReport = at + s.config.Interval
 	coordinator := 0
-	for coordinator < len(members)-1 && m.skipped[coordinator] > at {
+	for coordinator < len(members)-1 && m.avoidedUntil[coordinator] > at {
 		coordinator++
 	}
-	to := members[coordinator]
+	receiver := members[coordinator]
 	report := m.ledger.BeginReport(fmt.Sprint(self))
 	result.reports++
-	reaches := coordinator == self || (!to.gone && !to.still && !m.isCut && !to.isCut)
-	hears := reaches && (coordinator == self || (!m.isDeaf && !to.isDeaf))
+	reportArrives := coordinator == self || (!receiver.down && !receiver.paused && !m.isPartitioned && !receiver.isPartitioned)
+	answerArrives := reportArrives && (coordinator == self || (!m.losesInbound && !receiver.losesInbound))
 	var answer Answer
-	if reaches && (coordinator == self || !to.isDeaf) {
-		answer = to.coordinator.Receive(epoch.Add(at), report)
+	if reportArrives && (coordinator == self || !receiver.losesInbound) {
+		answer = receiver.coordinator.Receive(startTime.Add(at), report)
 	}
-	if p.measure {
+	if s.measure {
 		result.bytes += encodedSize(report) + encodedSize(answer)
 	}
-	if !hears {
-		m.busy = at + answerTimeout
+	if !answerArrives {
+		m.busyUntil = at + answerTimeout
 		m.pending = func(time.Time) {
 			m.ledger.ReportFailed()
-			m.skipped[coordinator] = at + time.Second
-			m.next = at + answerTimeout
+			m.avoidedUntil[coordinator] = at + time.Second
+			m.nextReport = at + answerTimeout
 		}
 		return
 	}
-	m.busy = at + time.Duration(random.Int64N(int64(p.delay)+1))
+	m.busyUntil = at + time.Duration(random.Int64N(int64(s.delay)+1))
 	if answer.Again {
-		m.next = at + AgainTime
+		m.nextReport = at + AgainTime
 	}
-	m.pending = func(time.Time) { m.ledger.ReportAnswered(epoch.Add(at), answer) }
+	m.pending = func(time.Time) { m.ledger.ReportAnswered(startTime.Add(at), answer) }
 }
 
 const answerTimeout = 200 * time.Millisecond
@@ -228,29 +233,29 @@
 	return count
 }
 
-// mostInWindow returns the highest number of times in any span of a length.
-func mostInWindow(times []time.Duration, window time.Duration) int {
-	most, first := 0, 0
+// maximumInWindow returns the maximum number of times within any span of the given length.
+func maximumInWindow(times []time.Duration, window time.Duration) int {
+	maximum, first := 0, 0
 	for last := range times {
 		for times[last]-times[first] >= window {
 			first++
 		}
-		most = max(most, last-first+1)
+		maximum = max(maximum, last-first+1)
 	}
-	return most
+	return maximum
 }
 
-// promised returns the most requests that may be in a window.
-func promised(config Config, quota Quota) float64 {
+// maximumAllowed returns the maximum number of requests allowed in a window.
+func maximumAllowed(config Config, quota Quota) float64 {
 	return quota.Rate*config.Window.Seconds() + quota.Burst + config.tolerance(quota)
 }
 
-// owed returns how many of the offered requests the quota allows.
-func owed(offered []time.Duration, quota Quota) int {
-	b := bucket{level: quota.Burst, updated: epoch}
+// countWithinQuota returns the number of offered requests that the quota allows.
+func countWithinQuota(offered []time.Duration, quota Quota) int {
+	b := bucket{level: quota.Burst, updated: startTime}
 	count := 0
 	for _, at := range offered {
-		b.fill(epoch.Add(at), quota.Rate, max(quota.Burst, 1))
+		b.fill(startTime.Add(at), quota.Rate, max(quota.Burst, 1))
 		if b.take() {
 			count++
 		}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -9,42 +9,43 @@
 	"github.com/matryer/is"
 )
 
-// usualConfig is what the users promise of their quotas, with the interval in use.
-var usualConfig = Config{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20, Interval: 500 * time.Millisecond}
+// testConfig has the window, the tolerances and the interval used in production.
+var testConfig = Config{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20, Interval: 500 * time.Millisecond}
 
-// usualTenants are a large tenant, one of medium size and a small one.
-var usualTenants = map[string]Quota{"large": {400, 400}, "medium": {60, 60}, "small": {5, 5}}
+// testTenants are a large, a medium and a small tenant.
+var testTenants = map[string]Quota{"large": {400, 400}, "medium": {60, 60}, "small": {5, 5}}
 
-// usualShare is the part of its rate that a tenant uses on a usual day.
-const usualShare = 1 / 1.6
+// typicalUtilization is the share of its rate that a tenant normally uses.
+const typicalUtilization = 1 / 1.6
 
-// hotFrom and hotUntil are when a tenant sends far more than usual.
+// surgeStart and surgeEnd delimit the time in which one tenant sends far more than normally.
 const (
-	hotFrom  = 10 * time.Second
-	hotUntil = 17 * time.Second
+	surgeStart = 10 * time.Second
+	surgeEnd   = 17 * time.Second
 )
 
-// demandOf returns the demand of all tenants of which one is hot for a while.
-func demandOf(quotas map[string]Quota, hot string, times float64) func(time.Duration, string) float64 {
+// demandWithSurge returns a demand in which one tenant sends a multiple of its typical rate
+// during the surge.
+func demandWithSurge(quotas map[string]Quota, surging string, times float64) func(time.Duration, string) float64 {
 	return func(at time.Duration, tenant string) float64 {
-		usual := quotas[tenant].Rate * usualShare
-		if tenant == hot && at >= hotFrom && at < hotUntil {
-			return usual * times
+		typicalRate := quotas[tenant].Rate * typicalUtilization
+		if tenant == surging && at >= surgeStart && at < surgeEnd {
+			return typicalRate * times
 		}
-		return usual
+		return typicalRate
 	}
 }
 
-// randomPlay draws a mesh of any size with any faults.
-func randomPlay(seed uint64) *play {
+// randomSimulation returns a mesh of random size with random faults.
+func randomSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 11))
 	quotas := map[string]Quota{}
 	for i := range 1 + random.IntN(4) {
 		rate := 2 * float64(int(1)<<random.IntN(8))
 		quotas[fmt.Sprint("tenant-", i)] = Quota{Rate: rate, Burst: rate * float64(random.IntN(3)) / 2}
 	}
-	p := &play{
-		config:     usualConfig,
+	s := &simulation{
+		config:     testConfig,
 		processes:  3 + random.IntN(100),
 		tenants:    quotas,
 		length:     25 * time.Second,
@@ -52,136 +53,135 @@
 		delay:      time.Duration(random.IntN(50)) * time.Millisecond,
 		stopsAfter: 4900 * time.Millisecond,
 	}
-	p.demand = demandOf(quotas, "tenant-0", 1+7*random.Float64())
+	s.demand = demandWithSurge(quotas, "tenant-0", 1+7*random.Float64())
 	for range random.IntN(4) {
 		from := time.Duration(500+random.IntN(1800)) * step
-		struck := fault{
-			kind:  faultKind(random.IntN(4)),
-			from:  from,
-			until: from + time.Duration(50+random.IntN(800))*step,
-			share: 0.05 + 0.3*random.Float64(),
-			first: random.IntN(2) == 0,
+		affected := fault{
+			kind:            faultKind(random.IntN(4)),
+			from:            from,
+			until:           from + time.Duration(50+random.IntN(800))*step,
+			share:           0.05 + 0.3*random.Float64(),
+			withCoordinator: random.IntN(2) == 0,
 		}
-		if struck.kind == killed && random.IntN(2) == 0 { // of many, or all, as demand jumps
-			struck.from, struck.share = hotFrom, 0.5+0.5*random.Float64()
-			struck.until = hotFrom + time.Duration(50+random.IntN(100))*step
+		if affected.kind == killed && random.IntN(2) == 0 { // at least half of the processes, at the start of the surge
+			affected.from, affected.share = surgeStart, 0.5+0.5*random.Float64()
+			affected.until = surgeStart + time.Duration(50+random.IntN(100))*step
 		}
-		p.faults = append(p.faults, struck)
+		s.faults = append(s.faults, affected)
 	}
-	return p
+	return s
 }
 
-// exceeded returns by which factor the worst window is beyond what is promised.
-func exceeded(p *play, r outcome) float64 {
+// worstWindow returns the maximum, over all windows, of admitted to allowed requests.
+func worstWindow(s *simulation, r outcome) float64 {
 	worst := 0.0
-	for tenant, quota := range p.tenants {
-		most := mostInWindow(r.admitted[tenant], p.config.Window)
-		worst = max(worst, float64(most)/promised(p.config, quota))
+	for tenant, quota := range s.tenants {
+		maximum := maximumInWindow(r.admitted[tenant], s.config.Window)
+		worst = max(worst, float64(maximum)/maximumAllowed(s.config, quota))
 	}
 	return worst
 }
 
-// randomPlays is the number of meshes that are drawn. 2000 of them were played once, with
-// none beyond what is promised.
-const randomPlays = 150
+// randomSimulations is the number of random meshes per test run.
+const randomSimulations = 150
 
-// TestQuotasHoldWhateverFails: in no window does a tenant make more requests than it may,
-// however the mesh is cut, killed and frozen.
-func TestQuotasHoldWhateverFails(t *testing.T) {
-	for seed := range uint64(randomPlays) {
-		p := randomPlay(seed)
-		if worst := exceeded(p, p.run()); worst > 1 {
-			t.Errorf("seed %d: %.3f of what is promised, %d processes, faults %+v", seed, worst, p.processes, p.faults)
+// TestQuotasHoldUnderFaults guards against a tenant exceeding its quota in some window while
+// processes are partitioned, killed or frozen.
+func TestQuotasHoldUnderFaults(t *testing.T) {
+	for seed := range uint64(randomSimulations) {
+		s := randomSimulation(seed)
+		if worst := worstWindow(s, s.run()); worst > 1 {
+			t.Errorf("seed %d: worst window has %.3f times the allowed requests, %d processes, faults %+v", seed, worst, s.processes, s.faults)
 		}
 	}
 }
 
-// safeguardPlays is the number of meshes among which one must need a safeguard.
-const safeguardPlays = 1000
+// safeguardSimulations is the number of meshes searched for one that needs a safeguard.
+const safeguardSimulations = 1000
 
-// TestEachSafeguardIsNeeded removes one safeguard after the other. The plays above must
-// find it out.
+// TestEachSafeguardIsNeeded disables one safeguard at a time and expects that
+// TestQuotasHoldUnderFaults would fail, which shows that it exercises the safeguard.
 func TestEachSafeguardIsNeeded(t *testing.T) {
-	for name, weaken := range map[string]func(*member){
-		"a process that is not answered goes on": func(m *member) {
-			m.ledger.answered, m.ledger.failed = epoch.Add(time.Hour), false
+	for name, disableSafeguard := range map[string]func(*member){
+		"use the last answer without an age limit": func(m *member) {
+			m.ledger.lastAnswered, m.ledger.failed = startTime.Add(time.Hour), false
 			for _, a := range m.ledger.accounts {
 				a.unreported = 0
 			}
 		},
-		"a coordinator gives out the shares of all": func(m *member) { m.coordinator.SetProcesses(1) },
-		"an equal share is that of one process":     func(m *member) { m.ledger.SetProcesses(1) },
-		"no tenant is ever throttled":               func(m *member) { clear(m.coordinator.throttled) },
+		"distribute the shares of all processes": func(m *member) { m.coordinator.SetProcesses(1) },
+		"equal share is the whole quota":         func(m *member) { m.ledger.SetProcesses(1) },
+		"never throttle a tenant":                func(m *member) { clear(m.coordinator.throttled) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(safeguardPlays) {
-				p := randomPlay(seed)
-				p.weaken = weaken
-				if exceeded(p, p.run()) > 1 {
+			for seed := range uint64(safeguardSimulations) {
+				s := randomSimulation(seed)
+				s.disableSafeguard = disableSafeguard
+				if worstWindow(s, s.run()) > 1 {
 					return
 				}
 			}
-			t.Error("no play needs it")
+			t.Error("no simulation exceeds a quota without this safeguard")
 		})
 	}
 }
 
-// lost returns the share of the requests within the quotas that were refused.
-func lost(p *play, r outcome) float64 {
+// refusedShare returns the share of the requests within the quotas that were refused.
+func refusedShare(s *simulation, r outcome) float64 {
 	admitted, allowed := 0, 0
-	for tenant, quota := range p.tenants {
-		within := owed(r.offered[tenant], quota)
+	for tenant, quota := range s.tenants {
+		within := countWithinQuota(r.offered[tenant], quota)
 		allowed += within
 		admitted += min(len(r.admitted[tenant]), within)
 	}
 	return 1 - float64(admitted)/float64(allowed)
 }
 
-// TestHardlyAnythingWithinAQuotaIsRefused compares two ways: a coordinator that adds up
-// what all admit, and equal shares, which need no messages.
-func TestHardlyAnythingWithinAQuotaIsRefused(t *testing.T) {
-	const most = 0.025 // of the requests within the quotas
+// TestFewRefusalsWithinQuota compares a coordinator with equal shares, which need no
+// messages: the coordinator must refuse fewer requests that are within the quotas.
+func TestFewRefusalsWithinQuota(t *testing.T) {
+	const maximum = 0.025 // share of the requests within the quotas
 	for _, times := range []float64{1, 1.5, 4, 7.5} {
-		for hot := range usualTenants {
-			t.Run(fmt.Sprintf("%s sends %g times its usual", hot, times), func(t *testing.T) {
+		for surging := range testTenants {
+			t.Run(fmt.Sprintf("%s sends %g times its typical rate", surging, times), func(t *testing.T) {
 				is := is.New(t)
-				p := &play{config: usualConfig, processes: 82, tenants: usualTenants, length: 25 * time.Second, seed: 1, delay: 10 * time.Millisecond}
-				p.demand = demandOf(usualTenants, hot, times)
-				coordinated := p.run()
-				p.alone = true
-				equal := p.run()
-				t.Logf("refused within the quotas: %.4f, by equal shares %.4f; worst window %.3f and %.3f of what is promised; %d reports a second",
-					lost(p, coordinated), lost(p, equal), exceeded(p, coordinated), exceeded(p, equal), coordinated.reports/25)
-				is.True(lost(p, coordinated) < most)
-				is.True(lost(p, coordinated) < lost(p, equal))
-				is.True(exceeded(p, coordinated) <= 1)
-				is.True(exceeded(p, equal) <= 1)
+				s := &simulation{config: testConfig, processes: 82, tenants: testTenants, length: 25 * time.Second, seed: 1, delay: 10 * time.Millisecond}
+				s.demand = demandWithSurge(testTenants, surging, times)
+				coordinated := s.run()
+				s.withoutReports = true
+				equal := s.run()
+				t.Logf("refused within the quotas: %.4f, with equal shares %.4f; worst window %.3f and %.3f of the allowed requests; %d reports per second",
+					refusedShare(s, coordinated), refusedShare(s, equal), worstWindow(s, coordinated), worstWindow(s, equal), coordinated.reports/25)
+				is.True(refusedShare(s, coordinated) < maximum)
+				is.True(refusedShare(s, coordinated) < refusedShare(s, equal))
+				is.True(worstWindow(s, coordinated) <= 1)
+				is.True(worstWindow(s, equal) <= 1)
 			})
 		}
 	}
 }
 
-// TestLittleIsRefusedAroundAMassKill: when half of the processes are killed, the
-// coordinator among them, the others and those that come back go on serving.
-func TestLittleIsRefusedAroundAMassKill(t *testing.T) {
+// TestFewRefusalsAfterMassKill guards against refusals within the quotas when half of the
+// processes, the coordinator included, are killed and restarted.
+func TestFewRefusalsAfterMassKill(t *testing.T) {
 	is := is.New(t)
-	p := &play{config: usualConfig, processes: 82, tenants: usualTenants, length: 14 * time.Second, delay: 10 * time.Millisecond}
-	p.demand = demandOf(usualTenants, "", 1)
-	p.faults = []fault{{kind: killed, from: 10 * time.Second, until: 10500 * time.Millisecond, share: 0.55, first: true}}
+	s := &simulation{config: testConfig, processes: 82, tenants: testTenants, length: 14 * time.Second, delay: 10 * time.Millisecond}
+	s.demand = demandWithSurge(testTenants, "", 1)
+	s.faults = []fault{{kind: killed, from: 10 * time.Second, until: 10500 * time.Millisecond, share: 0.55, withCoordinator: true}}
 	refused := 0
 	for seed := range uint64(5) {
-		p.seed = seed
-		r := p.run()
-		for tenant := range usualTenants {
-			refused += between(r.offered[tenant], 10*time.Second, 12*time.Second) - between(r.admitted[tenant], 10*time.Second, 12*time.Second)
+		s.seed = seed
+		r := s.run()
+		for tenant := range testTenants {
+			refused += countBetween(r.offered[tenant], 10*time.Second, 12*time.Second) - countBetween(r.admitted[tenant], 10*time.Second, 12*time.Second)
 		}
 	}
-	t.Logf("%d of the requests of two seconds are refused in five plays", refused)
+	t.Logf("%d requests refused in the two seconds after the kill, in five simulations", refused)
 	is.True(refused < 5*40)
 }
 
-// between counts the times from one up to another.
-func between(times []time.Duration, from, until time.Duration) int {
+// countBetween counts the times that are at or after from and before until.
+func countBetween(times []time.Duration, from, until time.Duration) int {
 	count := 0
 	for _, at := range times {
 		if at >= from && at < until {
@@ -191,47 +191,47 @@
 	return count
 }
 
-// TestReportsStayFew: a process makes about two reports a second whatever the size of the
-// mesh and the number of tenants, and their bytes follow its own requests.
-func TestReportsStayFew(t *testing.T) {
+// TestReportRateIsBounded guards against reports that become more frequent or larger with the
+// size of the mesh or the number of tenants.
+func TestReportRateIsBounded(t *testing.T) {
 	const (
-		perProcess = 22.0 // requests a second
-		mostBytes  = 4096 // a process and second
+		perProcess   = 22.0 // requests per second
+		maximumBytes = 4096 // per process and second
 	)
 	for _, c := range []struct{ processes, tenants int }{{30, 84}, {82, 84}, {300, 84}, {300, 3000}} {
 		t.Run(fmt.Sprintf("%d processes, %d tenants", c.processes, c.tenants), func(t *testing.T) {
 			is := is.New(t)
 			quotas := map[string]Quota{}
 			weights := 0.0
-			for i := range c.tenants { // a few are large
+			for i := range c.tenants { // few large ones, many small ones
 				weights += 1 / float64(i+1)
 			}
 			for i := range c.tenants {
-				rate := perProcess * float64(c.processes) / float64(i+1) / weights / usualShare
+				rate := perProcess * float64(c.processes) / float64(i+1) / weights / typicalUtilization
 				quotas[fmt.Sprintf("tenant-%04d", i)] = Quota{Rate: rate, Burst: rate}
 			}
-			p := &play{config: usualConfig, processes: c.processes, tenants: quotas, length: 3 * time.Second, delay: 10 * time.Millisecond, measure: true}
-			p.demand = demandOf(quotas, "", 1)
-			r := p.run()
-			seconds := float64(c.processes) * p.length.Seconds()
+			s := &simulation{config: testConfig, processes: c.processes, tenants: quotas, length: 3 * time.Second, delay: 10 * time.Millisecond, measure: true}
+			s.demand = demandWithSurge(quotas, "", 1)
+			r := s.run()
+			seconds := float64(c.processes) * s.length.Seconds()
 			reports, bytes := float64(r.reports)/seconds, float64(r.bytes)/seconds
-			t.Logf("%.2f reports and %.0f bytes of JSON a process and second", reports, bytes)
+			t.Logf("%.2f reports and %.0f bytes of JSON per process and second", reports, bytes)
 			is.True(reports < 4)
-			is.True(bytes < mostBytes)
+			is.True(bytes < maximumBytes)
 		})
 	}
 }
 
-// TestALowerQuotaBinds within one window, and a higher one at once.
-func TestALowerQuotaBinds(t *testing.T) {
+// TestLowerQuotaTakesEffect: a lower quota applies within one window, a higher one at once.
+func TestLowerQuotaTakesEffect(t *testing.T) {
 	is := is.New(t)
-	ledger, coordinator := NewLedger(usualConfig, 1), NewCoordinator(usualConfig)
-	set := func(now time.Time, quota Quota) {
+	ledger, coordinator := NewLedger(testConfig, 1), NewCoordinator(testConfig)
+	setQuota := func(now time.Time, quota Quota) {
 		ledger.SetQuotas(now, map[string]Quota{"t": quota})
 		coordinator.SetQuotas(map[string]Quota{"t": quota})
 	}
-	now := epoch
-	second := func() (admitted int) { // of 100 requests a second
+	now := startTime
+	runOneSecond := func() (admitted int) { // offers 100 requests
 		for range 10 {
 			for range 10 {
 				if ledger.Admit(now, "t").Admitted {
@@ -243,57 +243,57 @@
 		}
 		return admitted
 	}
-	set(now, Quota{Rate: 200, Burst: 200})
+	setQuota(now, Quota{Rate: 200, Burst: 200})
 	ledger.ReportAnswered(now, coordinator.Receive(now, ledger.BeginReport("p")))
 	for range 5 {
-		is.Equal(second(), 100)
+		is.Equal(runOneSecond(), 100)
 	}
-	set(now, Quota{Rate: 20, Burst: 20})
-	for range int(usualConfig.Window / time.Second) {
-		second()
+	setQuota(now, Quota{Rate: 20, Burst: 20})
+	for range int(testConfig.Window / time.Second) {
+		runOneSecond()
 	}
-	is.True(second() <= 25)
-	set(now, Quota{Rate: 200, Burst: 200})
-	second()
-	is.Equal(second(), 100)
+	is.True(runOneSecond() <= 25)
+	setQuota(now, Quota{Rate: 200, Burst: 200})
+	runOneSecond()
+	is.Equal(runOneSecond(), 100)
 }
 
-func TestARefundGivesRoomBack(t *testing.T) {
+func TestRefund(t *testing.T) {
 	is := is.New(t)
-	ledger := NewLedger(usualConfig, 1)
-	ledger.SetQuotas(epoch, map[string]Quota{"t": {Rate: 1, Burst: 1}})
-	ledger.Admit(epoch, "t")
+	ledger := NewLedger(testConfig, 1)
+	ledger.SetQuotas(startTime, map[string]Quota{"t": {Rate: 1, Burst: 1}})
+	ledger.Admit(startTime, "t")
 	ledger.Refund("t")
-	ledger.Refund("t")     // more than there is
+	ledger.Refund("t")     // more refunds than admitted requests
 	ledger.Refund("other") // without a quota
 	report := ledger.BeginReport("p")
 	is.Equal(report.Usage, []Usage{{Tenant: "t", Admitted: 0, Offered: 1}})
-	is.Equal(ledger.Admit(epoch, "other"), Decision{Admitted: true, Basis: Unbounded})
+	is.Equal(ledger.Admit(startTime, "other"), Decision{Admitted: true, Basis: Unbounded})
 }
 
-func TestStatesTellOfTheLastWindow(t *testing.T) {
+func TestStatesCoverLastWindow(t *testing.T) {
 	is := is.New(t)
-	ledger := NewLedger(usualConfig, 1) // nobody answers it
-	ledger.SetQuotas(epoch, map[string]Quota{"b": {Rate: 1, Burst: 2}, "a": {Rate: 1}})
+	ledger := NewLedger(testConfig, 1) // without a coordinator
+	ledger.SetQuotas(startTime, map[string]Quota{"b": {Rate: 1, Burst: 2}, "a": {Rate: 1}})
 	for range 5 {
-		ledger.Admit(epoch, "b")
+		ledger.Admit(startTime, "b")
 	}
-	states := ledger.States(epoch.Add(time.Second))
+	states := ledger.States(startTime.Add(time.Second))
 	is.Equal(states[0].Tenant, "a")
 	is.Equal(states[1].Admitted+states[1].Refused, 5)
-	is.True(states[1].Admitted <= 3) // the burst, and one for rounding
-	states = ledger.States(epoch.Add(2 * usualConfig.Window))
+	is.True(states[1].Admitted <= 3) // the burst, plus one request
+	states = ledger.States(startTime.Add(2 * testConfig.Window))
 	is.Equal(states[1].Admitted+states[1].Refused, 0)
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	ledger := NewLedger(usualConfig, 1)
+	ledger := NewLedger(testConfig, 1)
 	ledger.SetProcesses(82)
-	ledger.SetQuotas(epoch, usualTenants)
-	ledger.ReportAnswered(epoch, Answer{})
+	ledger.SetQuotas(startTime, testTenants)
+	ledger.ReportAnswered(startTime, Answer{})
 	b.ReportAllocs()
 	for b.Loop() {
-		ledger.Admit(epoch, "large")
+		ledger.Admit(startTime, "large")
 		ledger.Refund("large")
 	}
 }
--- a/quota/tally.go
+++ b/quota/tally.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// tallySlices is the number of parts that a window is counted in.
+// tallySlices is the number of slices into which a window is divided for counting.
 const tallySlices = 5
 
-// tally counts requests over about a window: the last tallySlices parts of it.
+// tally counts requests over approximately one window: the current slice and the
+// tallySlices-1 before it.
 type tally struct {
 	slices [tallySlices]tallySlice
 }
 
 type tallySlice struct {
-	number   int64 // of the part, by the time
+	number   int64 // time divided by the length of a slice
 	admitted int
 	refused  int
 }
--- a/quota/throttle.go
+++ b/quota/throttle.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Bounds in which a tenant may exceed its quota before it is throttled. What is left of
-// the tolerance covers what is admitted until all processes have heard. A part of the
-// slack lets small tenants have two or three requests at once, which is no sign that they exceed their quota.
-// TestQuotasHoldWhateverFails and TestReportsStayFew hold both.
+// Thresholds for throttling, as shares of the tolerated excess. The rest covers the requests
+// admitted until all processes have received the new share. The share of the slack lets small
+// tenants send two or three requests at once, which does not indicate an exceeded quota.
 const (
-	nearShare = 0.05 // of the tolerance
-	nearSlack = 0.2  // of the slack
+	throttleToleranceShare = 0.05 // share of the tolerance
+	throttleSlackShare     = 0.2  // share of the slack
 )
 
-// isNear reports whether a tenant is so near its quota that it would exceed it before
-// all processes have reported again.
-func (c *Coordinator) isNear(u *usage, quota Quota, part float64) bool {
-	throttleAt := -part * (nearShare*c.config.tolerance(quota) + nearSlack*c.config.Slack)
-	return c.forecast(u, quota, part) < throttleAt
+// isNearQuota reports whether a tenant is likely to exceed its quota before all processes
+// have reported again.
+func (c *Coordinator) isNearQuota(u *usage, quota Quota, reportingShare float64) bool {
+	throttleAt := -reportingShare * (throttleToleranceShare*c.config.tolerance(quota) + throttleSlackShare*c.config.Slack)
+	return c.forecast(u, quota, reportingShare) < throttleAt
 }
 
-// forecast is the room that is left an interval from now, if demand stays as it is.
-func (c *Coordinator) forecast(u *usage, quota Quota, part float64) float64 {
-	excess := max(u.demand.rate()-quota.Rate*part, 0)
-	return u.room.level - excess*c.config.Interval.Seconds()
+// forecast returns the remaining quota one interval from now, if demand stays the same.
+func (c *Coordinator) forecast(u *usage, quota Quota, reportingShare float64) float64 {
+	excess := max(u.demand.rate()-quota.Rate*reportingShare, 0)
+	return u.remaining.level - excess*c.config.Interval.Seconds()
 }
 
-// returnTime is the time in which room that is too little, or too much, is brought back.
-const returnTime = time.Second
+// correctionTime is the time over which an excess or a remainder of a quota is corrected.
+const correctionTime = time.Second
 
-// leastShareOfRate is what a tenant that exceeded its quota gets at least.
-const leastShareOfRate = 0.1
+// minimumRateShare is the minimum share of its rate that a throttled tenant is given.
+const minimumRateShare = 0.1
 
-// shares returns the shares of all tenants that are throttled. One that will have room again
-// is throttled no longer. A share is what the tenant's rate allows of its demand, less what
-// it used too much, or more by what is left, over returnTime.
-func (c *Coordinator) shares(now time.Time, part float64) []Share {
+// shares returns the shares of all throttled tenants, and stops throttling those that are
+// forecast to have quota remaining. A share is the ratio of an allowed rate to the tenant's
+// demand. The allowed rate is the tenant's rate, corrected over correctionTime by the excess
+// or the remainder of its quota.
+func (c *Coordinator) shares(now time.Time, reportingShare float64) []Share {
 	shares := make([]Share, 0, len(c.throttled))
 	for tenant, u := range c.throttled {
 		quota := c.quotas[tenant]
-		u.fill(now, quota, part)
+		u.fill(now, quota, reportingShare)
 		u.demand.decay(now)
-		if c.forecast(u, quota, part) > 0 {
+		if c.forecast(u, quota, reportingShare) > 0 {
 			delete(c.throttled, tenant)
 			continue
 		}
-		rate := max(quota.Rate*part+u.room.level/returnTime.Seconds(), leastShareOfRate*quota.Rate*part)
+		rate := max(quota.Rate*reportingShare+u.remaining.level/correctionTime.Seconds(), minimumRateShare*quota.Rate*reportingShare)
 		shares = append(shares, Share{Tenant: tenant, Admit: min(rate/max(u.demand.rate(), rate), 1)})
 	}
 	return shares
