--- a/quarantine/config.go
+++ b/quarantine/config.go
@@ -7,17 +7,19 @@
 
 // Config configures a Ledger.
 type Config struct {
-	// Threshold is the number of crashes, each of another incarnation of a back end, that
-	// put a request into quarantine. One crash proves nothing, since everything that a back
-	// end works on is lost with it; two may have one cause, since a lost request is retried
-	// at another back end at once. Higher loses more back ends to a request that crashes
-	// them. Default 3.
+	// Threshold is the number of crashes, each of a different incarnation of a back end, after
+	// which a request is quarantined. A single crash does not identify its cause, since all
+	// requests in flight at the back end are suspects. Two crashes may still have another
+	// common cause, since the requests in flight at the first are retried at once at another
+	// back end. With a higher value, a request that crashes back ends takes down more of them.
+	// Default 3.
 	Threshold int
-	// Period is how long a request is refused after its last crash, the first time. Each
-	// further crash doubles it, up to Keep. After it, one trial at a time is let through.
-	// Shorter frees an innocent request sooner, longer loses fewer back ends. Default 60s.
+	// Period is how long a request is refused after its last crash when it is quarantined for
+	// the first time. Each further crash doubles the time, up to Keep. When it is over, one
+	// trial at a time is admitted. A shorter period releases an innocent request sooner, a
+	// longer one loses fewer back ends. Default 60s.
 	Period time.Duration
-	// Keep is how long a crash is remembered. Memory grows with it. Default 10m.
+	// Keep is how long a crash is remembered. Memory use grows with it. Default 10m.
 	Keep time.Duration
 }
 
--- a/quarantine/decision.go
+++ b/quarantine/decision.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict says what is to be done with an attempt of a request.
+// Verdict is the decision on an attempt of a request.
 type Verdict int
 
 // Verdicts.
 const (
-	Admit  Verdict = iota // hand it to the back end
-	Refuse                // the request is in quarantine
-	Trial                 // hand it to the back end, and call EndTrial when it has ended
+	Admit  Verdict = iota // send the attempt to the back end
+	Refuse                // the request is quarantined
+	Trial                 // send the attempt to the back end, and call EndTrial when it has ended
 )
 
-// Decide is the rule for an attempt of a request:
+// Decide applies the rule for an attempt of a request:
 //
-//	suspected of fewer crashes than Threshold          Admit
-//	quarantine time after the latest crash not over    Refuse, for the rest of that time
-//	a trial is running, or another node runs them      Refuse, for trialPause
-//	otherwise                                          Trial
+//	suspected of fewer crashes than Threshold            Admit
+//	quarantine time after the last crash not over        Refuse for the rest of that time
+//	a trial is running, or another node runs the trials  Refuse for trialRetryAfter
+//	otherwise                                            Trial
 //
-// The quarantine time is Period, doubled by each crash above Threshold, up to Keep. The
-// duration is how long the caller of a refused attempt should wait. runsTrials is asked
-// whether this process is the one that runs trials of the request, so that a request which
-// still crashes back ends takes down one at a time.
+// The quarantine time is Period, doubled for each crash above Threshold, up to Keep. The
+// returned duration is how long the caller of a refused attempt should wait. runsTrials
+// reports whether this process is the one that runs the trials of the request, so that a
+// request which still crashes back ends crashes only one at a time.
 func (l *Ledger) Decide(now time.Time, signature Signature, runsTrials func() bool) (Verdict, time.Duration) {
 	known := l.suspects[signature]
 	if !l.isQuarantined(known) {
@@ -36,30 +36,30 @@
 	if left > 0 {
 		return Refuse, left
 	}
-	if known.onTrial || !runsTrials() {
-		return Refuse, trialPause
+	if known.trialRunning || !runsTrials() {
+		return Refuse, trialRetryAfter
 	}
-	known.onTrial = true
+	known.trialRunning = true
 	return Trial, 0
 }
 
-// trialPause is when a request may come again while another attempt of it is on trial, or
-// trials are made elsewhere.
-const trialPause = time.Second
+// trialRetryAfter is the time after which a request may be retried while another trial is
+// running or another node runs the trials.
+const trialRetryAfter = time.Second
 
-// isQuarantined reports whether a request, nil for one that is no suspect, is suspected of
-// enough crashes.
+// isQuarantined reports whether a request is suspected of at least Threshold crashes. known
+// is nil for a request that is not a suspect.
 func (l *Ledger) isQuarantined(known *suspect) bool {
 	return known != nil && len(known.crashes) >= l.config.Threshold
 }
 
-// QuarantinedByNextCrash reports whether a request is in quarantine, or will be by one more
+// QuarantinedByNextCrash reports whether a request is quarantined or will be after one more
 // crash.
 func (l *Ledger) QuarantinedByNextCrash(signature Signature) bool {
 	return len(l.SuspectedOf(signature)) >= l.config.Threshold-1
 }
 
-// quarantineTime is how long a request is refused after a number of crashes.
+// quarantineTime returns how long a request is refused after the given number of crashes.
 func (l *Ledger) quarantineTime(crashes int) time.Duration {
 	period := l.config.Period
 	for range crashes - l.config.Threshold {
@@ -71,16 +71,16 @@
 	return period
 }
 
-// EndTrial ends a trial, however it went.
+// EndTrial ends a trial, whatever its outcome.
 func (l *Ledger) EndTrial(signature Signature) {
 	if known, exists := l.suspects[signature]; exists {
-		known.onTrial = false
+		known.trialRunning = false
 	}
 }
 
-// TrialNode returns the one of some nodes that runs the trials of a request: the one that
-// ranks highest by a hash of both. Nodes that disagree on who is there may choose different
-// ones, which costs a back end for each at most.
+// TrialNode returns the node that runs the trials of a request: the one with the highest hash
+// of the signature and its name. Nodes with different views of the membership may choose
+// different ones; each choice then costs at most one back end.
 func TrialNode(signature Signature, nodes []string) string {
 	chosen, highest := "", uint64(0)
 	for _, node := range nodes {
--- a/quarantine/forget.go
+++ b/quarantine/forget.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Bounds of what a Ledger holds.
+// Limits on the size of a Ledger.
 const (
-	// maximumCrashes bounds the crashes that are remembered.
+	// maximumCrashes is the maximum number of crashes.
 	maximumCrashes = 256
-	// maximumSuspects bounds the requests of one crash: above the number that a back end
-	// works on at a time.
-	maximumSuspects = 512
-	// maximumListed bounds the requests of all crashes together: 2.7 MB of memory and 330 KB
-	// for a process that asks for all, by the sizes measured at 7,680 of them.
-	maximumListed = 16 << 10
+	// maximumSuspectsPerCrash is the maximum number of requests of one crash, above the
+	// number of requests that a back end runs at a time.
+	maximumSuspectsPerCrash = 512
+	// maximumEntries is the maximum number of requests of all crashes together. It bounds
+	// memory use and the size of the answer to a process that asks for all crashes.
+	maximumEntries = 16 << 10
 )
 
-// Expire forgets crashes that are older than Keep.
+// Expire removes the crashes that are at least Keep old.
 func (l *Ledger) Expire(now time.Time) {
 	for _, known := range l.crashes {
 		if now.Sub(known.at) >= l.config.Keep {
-			l.forget(known)
+			l.remove(known)
 		}
 	}
 }
 
-// limitListed forgets the oldest crashes until few enough requests are listed.
-func (l *Ledger) limitListed() {
-	for l.listed > maximumListed {
-		l.forgetOldest()
+// limitEntries removes the oldest crashes until at most maximumEntries requests remain.
+func (l *Ledger) limitEntries() {
+	for l.entryCount > maximumEntries {
+		l.removeOldest()
 	}
 }
 
-func (l *Ledger) forgetOldest() {
+func (l *Ledger) removeOldest() {
 	var oldest *crash
 	for _, known := range l.crashes {
 		if oldest == nil || known.at.Before(oldest.at) {
 			oldest = known
 		}
 	}
-	l.forget(oldest)
+	l.remove(oldest)
 }
 
-func (l *Ledger) forget(known *crash) {
-	for signature := range known.lost {
+func (l *Ledger) remove(known *crash) {
+	for signature := range known.inFlight {
 		l.dropSuspicion(known.id, signature)
 	}
-	l.listed -= len(known.lost)
+	l.entryCount -= len(known.inFlight)
 	delete(l.crashes, known.id)
 }
--- a/quarantine/golden_test.go
+++ b/quarantine/golden_test.go
@@ -8,8 +8,8 @@
 	"github.com/loomcleat/loomcleat/quarantine"
 )
 
-// TestSignaturesOfRequests: processes of two versions must name the same request alike.
-func TestSignaturesOfRequests(t *testing.T) {
+// TestSignatureIsStable: processes of different versions must compute the same signature.
+func TestSignatureIsStable(t *testing.T) {
 	is := is.New(t)
 	signature := quarantine.SignatureOf(quarantine.Request{
 		Method: "GET", Host: "a.example", Target: "/one?two=3", Tenant: "t-1", Body: 42,
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -5,42 +5,50 @@
 	"time"
 )
 
-// Ledger holds what one process knows of crashes and of the requests that are suspected of
-// them. Ledgers that were given the same reports, in any order and any number of times,
-// decide alike. A Ledger is not safe for concurrent use.
+// Ledger holds one process's knowledge of crashes and of the requests suspected of them.
+// Ledgers that have merged the same reports, in any order and any number of times, make the
+// same decisions. A Ledger is not safe for concurrent use.
 type Ledger struct {
-	config   Config
-	crashes  map[string]*crash      // by the id of the incarnation that crashed
-	suspects map[Signature]*suspect // by request; none that is cleared of all its crashes
-	listed   int                    // entries in the lists of all crashes
+	config Config
+	// By the id of the incarnation that crashed.
+	crashes map[string]*crash
+	// By request. Requests that are cleared of all their crashes are not included.
+	suspects map[Signature]*suspect
+	// Number of requests of all crashes together.
+	entryCount int
 }
 
-// crash is what is known of one crash.
+// crash is a crash of one incarnation of a back end.
 type crash struct {
-	id      string
-	at      time.Time
-	lost    map[Signature]bool // the requests that were lost in it; true: cleared of it
-	cleared int                // how many of them are cleared
+	id string
+	at time.Time
+	// Requests in flight when the back end crashed. The value is true for requests that are
+	// cleared of this crash.
+	inFlight map[Signature]bool
+	// Number of cleared requests.
+	cleared int
 }
 
-// suspect is a request that is suspected of one crash at least.
+// suspect is a request that is suspected of at least one crash.
 type suspect struct {
-	crashes []string  // ids of the crashes, without those that it was cleared of
-	last    time.Time // time of the latest crash that it was ever suspected of
-	onTrial bool      // a trial of it is running
+	// Ids of the crashes, except those that the request was cleared of.
+	crashes []string
+	// Time of the latest crash that it was ever suspected of.
+	last         time.Time
+	trialRunning bool
 }
 
-// NewLedger returns a Ledger that knows of nothing.
+// NewLedger returns an empty Ledger.
 func NewLedger(config Config) *Ledger {
 	config.setDefaults()
 	return &Ledger{config: config, crashes: map[string]*crash{}, suspects: map[Signature]*suspect{}}
 }
 
-// HasSuspects reports whether any request is suspected of a crash. While none is, attempts
-// need no decision and answers clear nothing.
+// HasSuspects reports whether any request is suspected of a crash. If none is, attempts need
+// no decision and answers clear nothing.
 func (l *Ledger) HasSuspects() bool { return len(l.suspects) > 0 }
 
-// QuarantinedCount returns the number of requests that are suspected of enough crashes.
+// QuarantinedCount returns the number of quarantined requests.
 func (l *Ledger) QuarantinedCount() int {
 	count := 0
 	for _, known := range l.suspects {
@@ -60,18 +68,18 @@
 	return slices.Clone(known.crashes)
 }
 
-// Report merges the report of a crash. It returns whether any of it is new here, and the
-// requests that it puts into quarantine. A report without an id, or of a time that is not
-// within Keep, is ignored.
+// Report merges the report of a crash. It returns whether the report adds or clears any
+// request, and the requests that are quarantined because of it. A report without an id, with a
+// negative age or with an age of Keep or more is ignored.
 func (l *Ledger) Report(now time.Time, reported Crash) (isNew bool, quarantined []Signature) {
 	age := time.Duration(reported.Age) * time.Millisecond
 	if reported.ID == "" || age < 0 || age >= l.config.Keep {
 		return false, nil
 	}
 	known := l.findOrAdd(reported.ID, now.Add(-age))
-	added, quarantined := l.addLost(known, reported)
+	added, quarantined := l.addInFlight(known, reported)
 	cleared := l.clearAll(known, reported.Cleared)
-	l.limitListed()
+	l.limitEntries()
 	return added || cleared, quarantined
 }
 
@@ -80,26 +88,26 @@
 		return known
 	}
 	if len(l.crashes) >= maximumCrashes {
-		l.forgetOldest()
+		l.removeOldest()
 	}
-	added := &crash{id: id, at: at, lost: map[Signature]bool{}}
+	added := &crash{id: id, at: at, inFlight: map[Signature]bool{}}
 	l.crashes[id] = added
 	return added
 }
 
-// addLost adds the requests of a report to those that were lost in a crash. It reports
-// whether any is new, and returns those that are in quarantine by it.
-func (l *Ledger) addLost(known *crash, reported Crash) (added bool, quarantined []Signature) {
+// addInFlight adds the suspects of a report to the requests of a crash. It returns whether any
+// of them is new, and those that are quarantined because of it.
+func (l *Ledger) addInFlight(known *crash, reported Crash) (added bool, quarantined []Signature) {
 	cleared := make(map[Signature]bool, len(reported.Cleared))
 	for _, signature := range reported.Cleared {
 		cleared[signature] = true
 	}
 	for _, signature := range reported.Suspects {
-		if _, listed := known.lost[signature]; listed || len(known.lost) >= maximumSuspects {
+		if _, listed := known.inFlight[signature]; listed || len(known.inFlight) >= maximumSuspectsPerCrash {
 			continue
 		}
-		known.lost[signature] = false
-		l.listed++
+		known.inFlight[signature] = false
+		l.entryCount++
 		added = true
 		if !cleared[signature] && l.suspect(known, signature) {
 			quarantined = append(quarantined, signature)
@@ -108,35 +116,35 @@
 	return added, quarantined
 }
 
-// suspect records that a request is suspected of a crash, and reports whether that puts it
-// into quarantine.
-func (l *Ledger) suspect(of *crash, signature Signature) bool {
+// suspect records that a request is suspected of a crash, and reports whether the request is
+// quarantined because of it.
+func (l *Ledger) suspect(cause *crash, signature Signature) bool {
 	known, exists := l.suspects[signature]
 	if !exists {
 		known = &suspect{}
 		l.suspects[signature] = known
 	}
-	known.crashes = append(known.crashes, of.id)
-	if of.at.After(known.last) {
-		known.last = of.at
+	known.crashes = append(known.crashes, cause.id)
+	if cause.at.After(known.last) {
+		known.last = cause.at
 	}
 	return len(known.crashes) == l.config.Threshold
 }
 
-// clearAll clears requests of a crash and reports whether any was not cleared before.
-func (l *Ledger) clearAll(known *crash, signatures []Signature) (any bool) {
+// clearAll clears requests of a crash and reports whether any of them was not cleared before.
+func (l *Ledger) clearAll(known *crash, signatures []Signature) (changed bool) {
 	for _, signature := range signatures {
-		if cleared, listed := known.lost[signature]; listed && !cleared {
+		if cleared, listed := known.inFlight[signature]; listed && !cleared {
 			l.clear(known, signature)
-			any = true
+			changed = true
 		}
 	}
-	return any
+	return changed
 }
 
-// clear takes the suspicion of a crash from a request that is listed for it.
+// clear clears a request of a crash that lists it.
 func (l *Ledger) clear(known *crash, signature Signature) {
-	known.lost[signature] = true
+	known.inFlight[signature] = true
 	known.cleared++
 	l.dropSuspicion(known.id, signature)
 }
@@ -152,16 +160,16 @@
 	}
 }
 
-// Answered clears a request that a back end has answered of all crashes that are known. It
-// returns those that it was suspected of, for other processes to be told.
+// Answered clears a request that a back end has answered of all known crashes. It returns
+// reports of the crashes that the request was suspected of, to be sent to other processes.
 func (l *Ledger) Answered(now time.Time, signature Signature) []Crash {
 	cleared := []Crash{}
 	for _, id := range l.SuspectedOf(signature) {
-		of := l.crashes[id]
-		l.clear(of, signature)
+		cause := l.crashes[id]
+		l.clear(cause, signature)
 		cleared = append(cleared, Crash{
 			ID:       id,
-			Age:      of.age(now),
+			Age:      cause.age(now),
 			Suspects: []Signature{signature},
 			Cleared:  []Signature{signature},
 		})
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -11,7 +11,7 @@
 
 const second = time.Second
 
-// crashOf returns the crash of an incarnation with the requests that were lost in it.
+// crashOf returns the report of a crash with the given requests in flight.
 func crashOf(id string, requests ...string) Crash {
 	report := Crash{ID: id}
 	for _, request := range requests {
@@ -26,29 +26,29 @@
 func never() bool  { return false }
 func always() bool { return true }
 
-// refused reports whether a ledger refuses a request at a time after the start.
+// refused reports whether a ledger refuses a request at the given time after the start.
 func refused(ledger *Ledger, after time.Duration, request string) bool {
 	verdict, _ := ledger.Decide(start.Add(after), signatureOf(request), never)
 	return verdict == Refuse
 }
 
-func TestWhatPutsARequestIntoQuarantine(t *testing.T) {
+func TestQuarantineThreshold(t *testing.T) {
 	cases := []struct {
 		name    string
 		crashes []Crash
 		refused []string
 		free    []string
 	}{
-		{"nothing has crashed", nil, nil, []string{"x"}},
-		{"two crashes are not enough", []Crash{crashOf("a", "x"), crashOf("b", "x")}, nil, []string{"x"}},
-		{"three are", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "x")}, []string{"x"}, nil},
-		{"those that were lost with it once or twice go free",
+		{"no crash", nil, nil, []string{"x"}},
+		{"two crashes", []Crash{crashOf("a", "x"), crashOf("b", "x")}, nil, []string{"x"}},
+		{"three crashes", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "x")}, []string{"x"}, nil},
+		{"others in flight in one or two of the crashes",
 			[]Crash{crashOf("a", "x", "y"), crashOf("b", "x", "y", "z"), crashOf("c", "z", "x")}, []string{"x"}, []string{"y", "z"}},
-		{"a crash that is reported again counts once", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("b", "x"), crashOf("a", "x")}, nil, []string{"x"}},
-		{"suspects that are reported later count", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "y"), crashOf("c", "x")}, []string{"x"}, []string{"y"}},
-		{"a crash without a name says nothing", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("", "x")}, nil, []string{"x"}},
-		{"nor does one of the future", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: -1, Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
-		{"nor one of long ago", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: defaultKeep.Milliseconds(), Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
+		{"crash reported twice", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("b", "x"), crashOf("a", "x")}, nil, []string{"x"}},
+		{"suspects reported later", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "y"), crashOf("c", "x")}, []string{"x"}, []string{"y"}},
+		{"crash without an id", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("", "x")}, nil, []string{"x"}},
+		{"crash in the future", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: -1, Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
+		{"crash older than Keep", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: defaultKeep.Milliseconds(), Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// withQuarantined returns a ledger with a request "x" in quarantine since the start.
+// withQuarantined returns a ledger in which the request "x" is quarantined from the start.
 func withQuarantined(t *testing.T) *Ledger {
 	t.Helper()
 	ledger := NewLedger(Config{})
@@ -78,23 +78,23 @@
 	return ledger
 }
 
-func TestReportTellsWhatIsNew(t *testing.T) {
+func TestReportReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	ledger := NewLedger(Config{})
 	for _, id := range []string{"a", "b"} {
-		news, quarantined := ledger.Report(start, crashOf(id, "x"))
-		is.True(news)
+		isNew, quarantined := ledger.Report(start, crashOf(id, "x"))
+		is.True(isNew)
 		is.Equal(len(quarantined), 0)
 	}
-	news, quarantined := ledger.Report(start, crashOf("c", "x", "y"))
-	is.True(news)
+	isNew, quarantined := ledger.Report(start, crashOf("c", "x", "y"))
+	is.True(isNew)
 	is.Equal(quarantined, []Signature{signatureOf("x")})
-	news, quarantined = ledger.Report(start, crashOf("c", "x", "y"))
-	is.True(!news)
+	isNew, quarantined = ledger.Report(start, crashOf("c", "x", "y"))
+	is.True(!isNew)
 	is.Equal(len(quarantined), 0)
 }
 
-func TestAnAnswerClears(t *testing.T) {
+func TestAnswerClearsRequest(t *testing.T) {
 	is := is.New(t)
 	ledger := NewLedger(Config{})
 	ledger.Report(start, crashOf("a", "x", "y"))
@@ -102,28 +102,28 @@
 	cleared := ledger.Answered(start, signatureOf("x"))
 	is.Equal(len(cleared), 2)
 	is.Equal(crashCount(ledger, signatureOf("x")), 0)
-	is.Equal(crashCount(ledger, signatureOf("y")), 1) // of which nothing is known
+	is.Equal(crashCount(ledger, signatureOf("y")), 1) // not answered
 
-	// Two more crashes begin from nothing, also where the first two are reported again.
+	// Two more crashes do not reach the threshold, even if an earlier one is reported again.
 	ledger.Report(start, crashOf("c", "x"))
 	ledger.Report(start, crashOf("d", "x"))
 	ledger.Report(start, crashOf("a", "x", "y"))
 	is.True(!refused(ledger, 0, "x"))
 
-	// Others learn of it.
+	// The returned reports clear the request at other processes.
 	other := NewLedger(Config{})
 	for _, id := range []string{"a", "b", "c"} {
 		other.Report(start, crashOf(id, "x"))
 	}
 	is.True(refused(other, 0, "x"))
 	for _, report := range cleared {
-		news, _ := other.Report(start, report)
-		is.True(news)
+		isNew, _ := other.Report(start, report)
+		is.True(isNew)
 	}
 	is.True(!refused(other, 0, "x"))
 }
 
-func TestQuarantineLastsLongerEachTime(t *testing.T) {
+func TestQuarantineTimeDoubles(t *testing.T) {
 	is := is.New(t)
 	ledger := withQuarantined(t)
 	is.True(refused(ledger, defaultPeriod-second, "x"))
@@ -131,7 +131,7 @@
 	is.Equal(verdict, Trial)
 	ledger.EndTrial(signatureOf("x"))
 
-	// It crashed another one: the quarantine is twice as long.
+	// The trial crashes another back end, which doubles the quarantine time.
 	at := start.Add(defaultPeriod)
 	ledger.Report(at, crashOf("d", "x"))
 	verdict, left := ledger.Decide(at, signatureOf("x"), always)
@@ -145,8 +145,8 @@
 	ledger := withQuarantined(t)
 	later := start.Add(defaultPeriod)
 	verdict, wait := ledger.Decide(later, signatureOf("x"), never)
-	is.Equal(verdict, Refuse) // trials are made elsewhere
-	is.Equal(wait, trialPause)
+	is.Equal(verdict, Refuse) // another node runs the trials
+	is.Equal(wait, trialRetryAfter)
 	verdict, _ = ledger.Decide(later, signatureOf("x"), always)
 	is.Equal(verdict, Trial)
 	verdict, _ = ledger.Decide(later, signatureOf("x"), always)
@@ -159,7 +159,7 @@
 	is.Equal(verdict, Admit)
 }
 
-func TestCrashesAreForgotten(t *testing.T) {
+func TestCrashesExpire(t *testing.T) {
 	is := is.New(t)
 	ledger := withQuarantined(t)
 	ledger.Expire(start.Add(defaultKeep - 1))
@@ -170,19 +170,19 @@
 	is.Equal(ledger.Digest(start), uint64(0))
 }
 
-func TestALedgerIsBounded(t *testing.T) {
+func TestLedgerIsBounded(t *testing.T) {
 	is := is.New(t)
 	ledger := NewLedger(Config{})
 	for i := range 3 * maximumCrashes {
 		report := Crash{ID: fmt.Sprint(i)}
-		for j := range 2 * maximumSuspects {
+		for j := range 2 * maximumSuspectsPerCrash {
 			report.Suspects = append(report.Suspects, signatureOf(fmt.Sprint(i, j)))
 		}
 		ledger.Report(start.Add(time.Duration(i)), report)
 	}
-	is.Equal(len(ledger.crashes), maximumListed/maximumSuspects) // fewer than maximumCrashes: these are large
-	is.Equal(ledger.listed, maximumListed)
-	is.Equal(len(ledger.suspects), maximumListed)
+	is.Equal(len(ledger.crashes), maximumEntries/maximumSuspectsPerCrash) // limited by the number of requests
+	is.Equal(ledger.entryCount, maximumEntries)
+	is.Equal(len(ledger.suspects), maximumEntries)
 	_, newest := ledger.crashes[fmt.Sprint(3*maximumCrashes-1)]
 	is.True(newest)
 
@@ -192,7 +192,7 @@
 	}
 	is.Equal(len(small.crashes), maximumCrashes)
 	is.Equal(len(small.suspects), maximumCrashes)
-	is.Equal(small.listed, maximumCrashes)
+	is.Equal(small.entryCount, maximumCrashes)
 }
 
 func TestOnlyQuarantinedRequestsAreSaved(t *testing.T) {
@@ -205,17 +205,17 @@
 	is.Equal(crashCount(restarted, signatureOf("of a")), 0)
 }
 
-// TestLedgersAgree: whatever order news comes in, and however often, processes that have
-// exchanged what they know decide alike, and a difference shows in the digest.
-func TestLedgersAgree(t *testing.T) {
-	const processes, news, requests = 5, 60, 12
+// TestLedgersConverge guards against processes that decide differently, or have different
+// digests, after merging the same reports in different orders.
+func TestLedgersConverge(t *testing.T) {
+	const processes, events, requests = 5, 60, 12
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		ledgers := make([]*Ledger, processes)
 		for i := range ledgers {
 			ledgers[i] = NewLedger(Config{})
 		}
-		for i := range news {
+		for i := range events {
 			now := start.Add(time.Duration(i) * second)
 			at := ledgers[random.IntN(processes)]
 			switch random.IntN(4) {
@@ -226,10 +226,10 @@
 					at.Report(now, report)
 				}
 			default:
-				at.Report(now, crashOf(fmt.Sprint(random.IntN(news)), fmt.Sprint(random.IntN(requests)), fmt.Sprint(random.IntN(requests))))
+				at.Report(now, crashOf(fmt.Sprint(random.IntN(events)), fmt.Sprint(random.IntN(requests)), fmt.Sprint(random.IntN(requests))))
 			}
 		}
-		now := start.Add(news * second)
+		now := start.Add(events * second)
 		for range 2 {
 			for _, from := range ledgers {
 				for _, to := range ledgers {
@@ -252,7 +252,7 @@
 		}
 		ledgers[0].Report(now, crashOf("another", "0"))
 		if ledgers[0].Digest(now) == ledgers[1].Digest(now) {
-			t.Fatalf("seed %d: a difference does not show", seed)
+			t.Fatalf("seed %d: digests are equal although one ledger has another crash", seed)
 		}
 	}
 }
--- a/quarantine/lost.go
+++ b/quarantine/lost.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// Bounds of LostRequests.
+// Limits of LostRequests.
 const (
-	// lossWindow is the time before the last loss within which others count as lost in the
-	// same crash. A request that its caller gave up may run on for a while, and a back end
-	// that crashes breaks all its connections within milliseconds.
-	lossWindow = time.Second
-	// maximumLosses bounds the losses that are remembered: above the requests that a back
-	// end works on at a time.
-	maximumLosses = 1024
+	// crashWindow is the time before the last unanswered request within which others count as
+	// in flight in the same crash. A request whose caller has given up may keep running for a
+	// while, and a crash breaks all connections of a back end within milliseconds.
+	crashWindow = time.Second
+	// maximumUnanswered is the maximum number of requests recorded, above the number of
+	// requests that a back end runs at a time.
+	maximumUnanswered = 1024
 )
 
-// LostRequests remembers which requests the back end of one node did not answer, so that
-// they can be named when it turns out that it has crashed. It is not safe for concurrent
-// use. The zero value is empty.
+// LostRequests records the requests that the back end of one node did not answer. They are
+// the suspects if the back end turns out to have crashed. It is not safe for concurrent use.
+// The zero value is empty.
 type LostRequests struct {
-	instance string // the incarnation that they were handed to
-	losses   []loss // in order of time
+	// Incarnation that the requests were sent to.
+	instance string
+	// In the order of time.
+	unanswered []unansweredRequest
 }
 
-// loss is a request that ended without an answer.
-type loss struct {
+// unansweredRequest is a request that ended without an answer.
+type unansweredRequest struct {
 	at        time.Time
 	signature Signature
 }
 
-// Add notes that a request which was handed to an incarnation ended without an answer:
-// its connection broke, or nobody waits for it any more.
+// Add records that a request sent to an incarnation ended without an answer: its connection
+// broke, or its caller gave up.
 func (r *LostRequests) Add(now time.Time, instance string, signature Signature) {
 	if instance != r.instance {
-		r.instance, r.losses = instance, nil
+		r.instance, r.unanswered = instance, nil
 	}
-	if len(r.losses) == maximumLosses {
-		r.losses = append(r.losses[:0], r.losses[maximumLosses/2:]...)
+	if len(r.unanswered) == maximumUnanswered {
+		r.unanswered = append(r.unanswered[:0], r.unanswered[maximumUnanswered/2:]...)
 	}
-	r.losses = append(r.losses, loss{at: now, signature: signature})
+	r.unanswered = append(r.unanswered, unansweredRequest{at: now, signature: signature})
 }
 
-// Suspects returns the requests that were lost together with an incarnation which has
-// crashed, each once.
+// Suspects returns the requests that were in flight when an incarnation crashed, each once.
 func (r *LostRequests) Suspects(instance string) []Signature {
-	if instance != r.instance || len(r.losses) == 0 {
+	if instance != r.instance || len(r.unanswered) == 0 {
 		return nil
 	}
-	since := r.losses[len(r.losses)-1].at.Add(-lossWindow)
+	since := r.unanswered[len(r.unanswered)-1].at.Add(-crashWindow)
 	suspects := []Signature{}
 	listed := map[Signature]bool{}
-	for _, lost := range r.losses {
-		if lost.at.Before(since) || listed[lost.signature] {
+	for _, request := range r.unanswered {
+		if request.at.Before(since) || listed[request.signature] {
 			continue
 		}
-		listed[lost.signature] = true
-		suspects = append(suspects, lost.signature)
+		listed[request.signature] = true
+		suspects = append(suspects, request.signature)
 	}
 	return suspects
 }
--- a/quarantine/mesh_test.go
+++ b/quarantine/mesh_test.go
@@ -8,81 +8,96 @@
 	"time"
 )
 
-// Times of the meshes of these tests.
+// Times of the simulated meshes.
 const (
-	step        = 10 * time.Millisecond
-	gossipEvery = 200 * time.Millisecond // one exchange of each process
-	longestWay  = 400 * time.Millisecond // of a message that is not lost
-	backAfter   = 3 * time.Second        // a back end after its crash
-	contact     = 3 * time.Second        // what must be known is known in this time by those in touch
-	meshTime    = 60 * time.Second
-	// newRequestEvery is the time after which another request begins to crash back ends.
-	newRequestEvery = 20 * time.Second
-	allowedLate     = 3 // arrivals of a request later than contact after its third crash
+	step = 10 * time.Millisecond
+	// Time between two gossip exchanges of a process.
+	gossipInterval = 200 * time.Millisecond
+	// Maximum delay of a message that is not lost.
+	maximumDelay = 400 * time.Millisecond
+	// Time from a crash of a back end to its restart.
+	restartTime = 3 * time.Second
+	// Time within which reports must reach all nodes that have had no fault for as long.
+	convergenceTime = 3 * time.Second
+	simulatedTime   = 60 * time.Second
+	// Time after which another request begins to crash back ends.
+	newRequestInterval = 20 * time.Second
+	// Maximum number of late arrivals of a request.
+	maximumLate = 3
 )
 
-// safeguards are what keeps a request from taking back end after back end. Each can be
-// taken away.
+// safeguards are the mechanisms that stop a request from crashing one back end after another.
+// Each can be disabled: crash reports sent to all nodes at once, gossip, and the store.
 type safeguards struct {
-	tell, gossip, store bool
+	announce, gossip, store bool
 }
 
-// mesh is a number of nodes of one service, each beside a back end, in virtual time.
+// mesh is a simulated mesh in virtual time: nodes of one service, each beside a back end.
 type mesh struct {
 	random  *rand.Rand
-	with    safeguards
+	enabled safeguards
 	now     time.Time
 	nodes   []*meshNode
 	pending []message
 	stored  []Crash
-	loss    int                       // one message of so many is lost
-	pace    int                       // steps between two tries of a crashing request, on average
-	crashes map[Signature][]time.Time // of back ends, by the request that crashed them
-	late    map[Signature]int         // arrivals later than contact after the third crash
+	// One in this many messages is lost.
+	lossDenominator int
+	// Average number of steps between two client requests that crash back ends.
+	stepsPerRequest int
+	// Times of crashes, by the request that caused them.
+	crashes map[Signature][]time.Time
+	// Arrivals of a request at back ends later than convergenceTime after its third crash.
+	lateArrivals map[Signature]int
 }
 
 type meshNode struct {
-	ledger    *Ledger
-	starts    int
-	own       []string  // crashes of the back end beside it
-	backAt    time.Time // of the back end
-	cutUntil  time.Time // from all others
-	troubleAt time.Time // last kill or cut, or its end
+	ledger *Ledger
+	// Number of crashes of the back end beside the node.
+	ownCrashCount int
+	// Ids of those since the node was started.
+	ownCrashes []string
+	// Time at which the back end is restarted after its last crash.
+	restartsAt time.Time
+	// Time until which the node is partitioned from all others.
+	partitionedUntil time.Time
+	// Time of the last kill, or of the end of the last partition.
+	lastFault time.Time
 }
 
+// message is a digest, a request for all crashes (pull) or a list of crashes.
 type message struct {
 	at      time.Time
 	from    int
 	to      int
-	digest  uint64 // with nothing else: what the sender knows
+	digest  uint64
 	crashes []Crash
 	pull    bool
 }
 
-func newMesh(seed uint64, with safeguards) *mesh {
+func newMesh(seed uint64, enabled safeguards) *mesh {
 	m := &mesh{
-		random:  rand.New(rand.NewPCG(seed, 7)),
-		with:    with,
-		now:     start,
-		crashes: map[Signature][]time.Time{},
-		late:    map[Signature]int{},
+		random:       rand.New(rand.NewPCG(seed, 7)),
+		enabled:      enabled,
+		now:          start,
+		crashes:      map[Signature][]time.Time{},
+		lateArrivals: map[Signature]int{},
 	}
-	m.loss = []int{10, 4}[m.random.IntN(2)]
-	m.pace = []int{15, 150}[m.random.IntN(2)]
+	m.lossDenominator = []int{10, 4}[m.random.IntN(2)]
+	m.stepsPerRequest = []int{15, 150}[m.random.IntN(2)]
 	for range 3 + m.random.IntN(60) {
-		m.nodes = append(m.nodes, &meshNode{ledger: NewLedger(Config{}), troubleAt: start.Add(-contact)})
+		m.nodes = append(m.nodes, &meshNode{ledger: NewLedger(Config{}), lastFault: start.Add(-convergenceTime)})
 	}
 	return m
 }
 
-func (m *mesh) cut(node int) bool { return m.now.Before(m.nodes[node].cutUntil) }
+func (m *mesh) isPartitioned(node int) bool { return m.now.Before(m.nodes[node].partitionedUntil) }
 
-// send sends a message, which may be lost.
+// send schedules the delivery of a message, unless the message is lost.
 func (m *mesh) send(sent message) {
-	if m.cut(sent.from) || m.random.IntN(m.loss) == 0 {
+	if m.isPartitioned(sent.from) || m.random.IntN(m.lossDenominator) == 0 {
 		return
 	}
-	sent.at = m.now.Add(time.Duration(m.random.Int64N(int64(longestWay))))
+	sent.at = m.now.Add(time.Duration(m.random.Int64N(int64(maximumDelay))))
 	m.pending = append(m.pending, sent)
 }
 
@@ -95,7 +110,7 @@
 	for _, sent := range m.pending {
 		if sent.at.After(m.now) {
 			waiting = append(waiting, sent)
-		} else if !m.cut(sent.to) {
+		} else if !m.isPartitioned(sent.to) {
 			arrived = append(arrived, sent)
 		}
 	}
@@ -112,21 +127,21 @@
 		m.send(message{from: sent.to, to: sent.from, crashes: ledger.All(m.now)})
 	case sent.crashes != nil:
 		for _, report := range sent.crashes {
-			m.learn(sent.to, report)
+			m.handleReport(sent.to, report)
 		}
 	case sent.digest != 0 && sent.digest != ledger.Digest(m.now):
 		m.send(message{from: sent.to, to: sent.from, pull: true})
 	}
 }
 
-// learn reports a crash to a node. A node that has lost a back end to a request which is now
-// in quarantine writes that to the store.
-func (m *mesh) learn(i int, report Crash) {
+// handleReport merges a crash into the ledger of a node. If a request is quarantined by it
+// and has crashed the node's own back end, the node writes the crash to the store.
+func (m *mesh) handleReport(i int, report Crash) {
 	node := m.nodes[i]
 	_, quarantined := node.ledger.Report(m.now, report)
 	for _, signature := range quarantined {
-		own := slices.ContainsFunc(node.ledger.SuspectedOf(signature), func(id string) bool { return slices.Contains(node.own, id) })
-		if own && m.with.store && !m.cut(i) {
+		isOwn := slices.ContainsFunc(node.ledger.SuspectedOf(signature), func(id string) bool { return slices.Contains(node.ownCrashes, id) })
+		if isOwn && m.enabled.store && !m.isPartitioned(i) {
 			m.stored = append(m.stored, withZeroAges(node.ledger.CrashesOfQuarantined(m.now))...)
 		}
 	}
@@ -141,34 +156,34 @@
 	}
 }
 
-// attempt hands a crashing request to a node, and reports whether another one may follow.
+// attempt sends a crashing request to a node and reports whether it may be retried.
 func (m *mesh) attempt(i int, crashing Signature) bool {
 	node := m.nodes[i]
 	verdict, _ := node.ledger.Decide(m.now, crashing, never)
 	if verdict == Refuse {
 		return false
 	}
-	if m.now.Before(node.backAt) {
+	if m.now.Before(node.restartsAt) {
 		return true
 	}
-	again := !node.ledger.QuarantinedByNextCrash(crashing)
-	inTouch := m.now.Sub(node.troubleAt) > contact
+	retry := !node.ledger.QuarantinedByNextCrash(crashing)
+	connected := m.now.Sub(node.lastFault) > convergenceTime
 	crashes := m.crashes[crashing]
-	if inTouch && len(crashes) >= 3 && m.now.Sub(crashes[2]) > contact {
-		m.late[crashing]++
+	if connected && len(crashes) >= 3 && m.now.Sub(crashes[2]) > convergenceTime {
+		m.lateArrivals[crashing]++
 	}
 	m.crashes[crashing] = append(crashes, m.now)
-	node.backAt = m.now.Add(backAfter)
-	node.starts++
-	report := Crash{ID: fmt.Sprint(i, ".", node.starts), Suspects: []Signature{signatureOf(fmt.Sprint(m.random.IntN(100))), crashing}}
-	node.own = append(node.own, report.ID)
-	m.learn(i, report)
-	if m.with.tell {
+	node.restartsAt = m.now.Add(restartTime)
+	node.ownCrashCount++
+	report := Crash{ID: fmt.Sprint(i, ".", node.ownCrashCount), Suspects: []Signature{signatureOf(fmt.Sprint(m.random.IntN(100))), crashing}}
+	node.ownCrashes = append(node.ownCrashes, report.ID)
+	m.handleReport(i, report)
+	if m.enabled.announce {
 		for peer := range m.nodes {
 			m.send(message{from: i, to: peer, crashes: []Crash{report}})
 		}
 	}
-	return again
+	return retry
 }
 
 func withZeroAges(crashes []Crash) []Crash {
@@ -178,22 +193,22 @@
 	return crashes
 }
 
-// trouble kills or cuts off some nodes, or kills all.
-func (m *mesh) trouble() {
+// injectFaults kills or partitions some nodes, or all of them.
+func (m *mesh) injectFaults() {
 	all := m.random.IntN(4) == 0
-	cuts := m.random.IntN(2) == 0
+	partitions := m.random.IntN(2) == 0
 	for i, node := range m.nodes {
 		if !all && m.random.IntN(5) != 0 {
 			continue
 		}
-		node.troubleAt = m.now
-		if cuts {
-			node.cutUntil = m.now.Add(time.Duration(1+m.random.IntN(8)) * second)
-			node.troubleAt = node.cutUntil
+		node.lastFault = m.now
+		if partitions {
+			node.partitionedUntil = m.now.Add(time.Duration(1+m.random.IntN(8)) * second)
+			node.lastFault = node.partitionedUntil
 			continue
 		}
-		m.nodes[i] = &meshNode{ledger: NewLedger(Config{}), starts: node.starts, backAt: node.backAt, troubleAt: m.now}
-		if m.with.store {
+		m.nodes[i] = &meshNode{ledger: NewLedger(Config{}), ownCrashCount: node.ownCrashCount, restartsAt: node.restartsAt, lastFault: m.now}
+		if m.enabled.store {
 			for _, report := range m.stored {
 				m.nodes[i].ledger.Report(m.now, report)
 			}
@@ -201,85 +216,87 @@
 	}
 }
 
-// try is one try of a caller: an attempt, and the one that follows it.
-func (m *mesh) try(crashing Signature) {
+// sendRequest sends a client's request: one attempt and at most one retry.
+func (m *mesh) sendRequest(crashing Signature) {
 	if m.attempt(m.random.IntN(len(m.nodes)), crashing) {
 		m.attempt(m.random.IntN(len(m.nodes)), crashing)
 	}
 }
 
 func (m *mesh) run() {
-	for ; m.now.Before(start.Add(meshTime)); m.now = m.now.Add(step) {
+	for ; m.now.Before(start.Add(simulatedTime)); m.now = m.now.Add(step) {
 		m.deliver()
 		at := m.now.Sub(start)
-		if m.with.gossip && at%gossipEvery == 0 {
+		if m.enabled.gossip && at%gossipInterval == 0 {
 			m.gossip()
 		}
 		if at%second == 0 && m.random.IntN(3) == 0 {
-			m.trouble()
+			m.injectFaults()
 		}
-		if m.random.IntN(m.pace) == 0 {
-			m.try(signatureOf("crashing" + fmt.Sprint(at/newRequestEvery)))
+		if m.random.IntN(m.stepsPerRequest) == 0 {
+			m.sendRequest(signatureOf("crashing" + fmt.Sprint(at/newRequestInterval)))
 		}
 	}
 }
 
-// holds reports whether no request reached back ends too often.
-func (m *mesh) holds() bool {
-	for _, late := range m.late {
-		if late > allowedLate {
+// withinLimit reports whether every crashing request arrived late at most maximumLate times.
+func (m *mesh) withinLimit() bool {
+	for _, lateArrivals := range m.lateArrivals {
+		if lateArrivals > maximumLate {
 			return false
 		}
 	}
 	return true
 }
 
-// firstBroken returns the first seed, of so many from one on, of a mesh in which a crashing request reached back
-// ends too often after it should have been known, and false when there is none.
-func firstBroken(first, meshes uint64, with safeguards) (uint64, bool) {
+// firstFailingSeed returns the first of the given number of seeds whose mesh lets a crashing
+// request arrive late too often, and false if there is none.
+func firstFailingSeed(first, meshes uint64, enabled safeguards) (uint64, bool) {
 	for seed := first; seed < first+meshes; seed++ {
-		m := newMesh(seed, with)
+		m := newMesh(seed, enabled)
 		m.run()
-		if !m.holds() {
+		if !m.withinLimit() {
 			return seed, true
 		}
 	}
 	return 0, false
 }
 
-// TestACrashingRequestIsStoppedWhateverFails: messages lost or late, nodes cut off, killed
-// one by one and all at once.
-func TestACrashingRequestIsStoppedWhateverFails(t *testing.T) {
-	if seed, found := firstBroken(0, 40, safeguards{tell: true, gossip: true, store: true}); found {
-		t.Fatalf("the mesh of seed %d", seed)
+// TestCrashingRequestIsStoppedUnderFaults guards against a request that keeps crashing back
+// ends while messages are lost or late and nodes are partitioned or killed.
+func TestCrashingRequestIsStoppedUnderFaults(t *testing.T) {
+	if seed, found := firstFailingSeed(0, 40, safeguards{announce: true, gossip: true, store: true}); found {
+		t.Fatalf("seed %d: a crashing request arrived late too often", seed)
 	}
 }
 
-// TestEachSafeguardOfTheQuarantineIsNeeded: with one taken away, some mesh is broken.
-func TestEachSafeguardOfTheQuarantineIsNeeded(t *testing.T) {
+// TestEachSafeguardIsNeeded disables a safeguard and expects the simulation to fail, which
+// shows that TestCrashingRequestIsStoppedUnderFaults exercises it.
+func TestEachSafeguardIsNeeded(t *testing.T) {
 	cases := []struct {
-		name  string
-		first uint64 // seed from which on it is looked for: some show rarely
-		with  safeguards
+		name    string
+		first   uint64 // first seed tried, since some failures are rare
+		enabled safeguards
 	}{
-		{"gossip", 0, safeguards{tell: true, store: true}},
-		{"store", 270, safeguards{tell: true, gossip: true}},
+		{"gossip", 0, safeguards{announce: true, store: true}},
+		{"store", 270, safeguards{announce: true, gossip: true}},
 		{"all", 0, safeguards{}},
 	}
 	for _, c := range cases {
-		seed, found := firstBroken(c.first, 20, c.with)
-		t.Logf("without %s: broken by seed %d", c.name, seed)
+		seed, found := firstFailingSeed(c.first, 20, c.enabled)
+		t.Logf("without %s: seed %d fails", c.name, seed)
 		if !found {
-			t.Errorf("nothing shows that %s is taken away", c.name)
+			t.Errorf("no seed fails without %s", c.name)
 		}
 	}
 }
 
-// TestTellingSavesBackEnds: told at once, nodes know before the request comes to them.
-func TestTellingSavesBackEnds(t *testing.T) {
-	count := func(with safeguards) (sum int) {
+// TestAnnouncementsReduceCrashes: crash reports sent at once must save back ends compared
+// with gossip alone.
+func TestAnnouncementsReduceCrashes(t *testing.T) {
+	count := func(enabled safeguards) (sum int) {
 		for seed := range uint64(15) {
-			m := newMesh(seed, with)
+			m := newMesh(seed, enabled)
 			m.run()
 			for _, crashes := range m.crashes {
 				sum += len(crashes)
@@ -287,9 +304,9 @@
 		}
 		return sum
 	}
-	told, gossiped := count(safeguards{tell: true, gossip: true, store: true}), count(safeguards{gossip: true, store: true})
-	t.Logf("back ends that crashed in 15 meshes: %d, without telling %d", told, gossiped)
-	if told >= gossiped {
-		t.Errorf("telling saves nothing: %d against %d", told, gossiped)
+	announced, gossiped := count(safeguards{announce: true, gossip: true, store: true}), count(safeguards{gossip: true, store: true})
+	t.Logf("crashes in 15 meshes: %d, without announcements %d", announced, gossiped)
+	if announced >= gossiped {
+		t.Errorf("announcements do not reduce the number of crashes: %d with, %d without", announced, gossiped)
 	}
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -10,30 +10,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crash is the report of one crash of a back end that worked on requests. Processes send it
-// to each other, and it lies in the store.
+// Crash is the report of a crash of a back end with requests in flight. Processes send it to
+// each other and save it in the store.
 type Crash struct {
-	// ID names the incarnation that crashed.
+	// ID identifies the incarnation that crashed.
 	ID string `json:"id"`
-	// Age is how long ago it crashed, in milliseconds. Each process that passes the report
-	// on adds the time for which it has known it, by its own steady clock.
+	// Age is the time since the crash, in milliseconds. A process that forwards the report
+	// adds the time for which it has held it, by its own monotonic clock.
 	Age int64 `json:"age"`
-	// Suspects are the requests that were lost in the crash, each once.
+	// Suspects are the requests in flight when the back end crashed, each once.
 	Suspects []Signature `json:"suspects"`
-	// Cleared are those of them that a back end has answered since.
+	// Cleared are those suspects that a back end has answered since.
 	Cleared []Signature `json:"cleared,omitempty"`
 }
 
-// age is how long ago a crash was, in milliseconds.
+// age returns the time since a crash, in milliseconds.
 func (c *crash) age(now time.Time) int64 { return now.Sub(c.at).Milliseconds() }
 
-// All returns the reports of all crashes that are known, for another process, the oldest
-// first.
+// All returns the reports of all known crashes, for another process, the oldest first.
 func (l *Ledger) All(now time.Time) []Crash {
 	all := make([]Crash, 0, len(l.crashes))
 	for id, known := range l.crashes {
-		report := Crash{ID: id, Age: known.age(now), Suspects: slices.Collect(maps.Keys(known.lost))}
-		for signature, cleared := range known.lost {
+		report := Crash{ID: id, Age: known.age(now), Suspects: slices.Collect(maps.Keys(known.inFlight))}
+		for signature, cleared := range known.inFlight {
 			if cleared {
 				report.Cleared = append(report.Cleared, signature)
 			}
@@ -44,14 +43,14 @@
 	return all
 }
 
-// CrashesOfQuarantined returns reports of the crashes for which requests are in quarantine,
-// with those requests alone. Their order depends on nothing but what they hold, so that
-// processes that know the same write the same bytes to the store.
+// CrashesOfQuarantined returns reports of the crashes that quarantined requests are suspected
+// of, listing only those requests. The order depends only on the contents, so that processes
+// with the same knowledge write the same bytes to the store.
 func (l *Ledger) CrashesOfQuarantined(now time.Time) []Crash {
 	reports := []Crash{}
 	for id, known := range l.crashes {
 		report := Crash{ID: id, Age: known.age(now)}
-		for signature, cleared := range known.lost {
+		for signature, cleared := range known.inFlight {
 			if !cleared && l.isQuarantined(l.suspects[signature]) {
 				report.Suspects = append(report.Suspects, signature)
 			}
@@ -65,22 +64,22 @@
 	return reports
 }
 
-// digestShare is the part of Keep up to which a crash counts in the digest. Processes forget
-// a crash at slightly different times, which must not look like news.
+// digestShare is the share of Keep up to which a crash is included in the digest. Processes
+// remove a crash at slightly different times, which must not make their digests differ.
 const digestShare = 0.75
 
-// digestFactor is odd and spreads the bits of a sum.
+// digestFactor is odd, so that the multiplication loses no bits, and spreads them.
 const digestFactor = 0x9e3779b97f4a7c15
 
-// Digest is a hash of the crashes that are known, 0 for none. Ledgers with equal digests
-// know the same ones.
+// Digest returns a hash of the known crashes that are younger than digestShare of Keep, 0 if
+// there are none. Ledgers with equal digests hold the same ones.
 func (l *Ledger) Digest(now time.Time) uint64 {
 	digest := uint64(0)
 	for id, known := range l.crashes {
 		if now.Sub(known.at) >= time.Duration(digestShare*float64(l.config.Keep)) {
 			continue
 		}
-		counts := uint64(len(known.lost))<<32 | uint64(known.cleared)
+		counts := uint64(len(known.inFlight))<<32 | uint64(known.cleared)
 		digest ^= (xxhash.Sum64String(id) ^ counts) * digestFactor
 	}
 	return digest
--- a/quarantine/signature_test.go
+++ b/quarantine/signature_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSignatureTellsRequestsApart(t *testing.T) {
+func TestSignatureDistinguishesRequests(t *testing.T) {
 	base := Request{Method: "GET", Host: "shop.example", Target: "/a?b=c", Tenant: "smith", Body: 7}
 	others := []Request{
 		{Method: "POST", Host: "shop.example", Target: "/a?b=c", Tenant: "smith", Body: 7},
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestSignatureAsText(t *testing.T) {
+func TestSignatureText(t *testing.T) {
 	is := is.New(t)
 	signature := SignatureOf(Request{Method: "GET"})
 	data, err := json.Marshal(signature)
