--- a/spread/freshness_test.go
+++ b/spread/freshness_test.go
@@ -12,44 +12,44 @@
 	start := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	cases := []struct {
-		name    string
-		play    func(*Freshness)
-		age     time.Duration
-		known   bool
-		vouched bool
+		name      string
+		apply     func(*Freshness)
+		age       time.Duration
+		known     bool
+		confirmed bool
 	}{
-		{"nothing is known", func(*Freshness) {}, 0, false, false},
+		{"never verified", func(*Freshness) {}, 0, false, false},
 		{"read from the store", func(f *Freshness) { f.Verified(at(9)) }, time.Second, true, false},
-		{"vouched for", func(f *Freshness) { f.Vouched(at(9), time.Second) }, 2 * time.Second, true, true},
-		{"vouched for by one who knows little", func(f *Freshness) { f.Vouched(at(9), 5*time.Second) }, 6 * time.Second, true, false},
-		{"vouched for long ago", func(f *Freshness) { f.Vouched(at(7), 0) }, 3 * time.Second, true, false},
-		{"older news after newer", func(f *Freshness) { f.Verified(at(9)); f.Vouched(at(10), 4*time.Second) }, time.Second, true, false},
+		{"confirmed", func(f *Freshness) { f.Vouched(at(9), time.Second) }, 2 * time.Second, true, true},
+		{"confirmed with a high age", func(f *Freshness) { f.Vouched(at(9), 5*time.Second) }, 6 * time.Second, true, false},
+		{"confirmed long ago", func(f *Freshness) { f.Vouched(at(7), 0) }, 3 * time.Second, true, false},
+		{"older confirmation after a read", func(f *Freshness) { f.Verified(at(9)); f.Vouched(at(10), 4*time.Second) }, time.Second, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			freshness := &Freshness{}
-			c.play(freshness)
+			c.apply(freshness)
 			age, known := freshness.Age(at(10))
 			is.Equal(age, c.age)
 			is.Equal(known, c.known)
-			is.Equal(freshness.IsVouched(at(10), 1), c.vouched)
+			is.Equal(freshness.IsConfirmed(at(10), 1), c.confirmed)
 		})
 	}
 }
 
-// TestFewGoToTheStore plays meshes in virtual time: each member exchanges messages
-// with a random other one each second, and four watch the store in waits of 700 ms.
-// Of the others, hardly any may have to look for itself, whatever the size.
-func TestFewGoToTheStore(t *testing.T) {
+// TestFewProcessesReadStore guards against a bound on the age of confirmations that makes many
+// processes read the store. Each process of a simulated mesh exchanges messages with a random
+// other one once a second, and four watch the store with reads every 700 ms.
+func TestFewProcessesReadStore(t *testing.T) {
 	const (
-		step     = 10 * time.Millisecond
-		interval = time.Second
-		wait     = 700 * time.Millisecond
-		watchers = 4
-		settled  = 10 * time.Second
-		end      = 30 * time.Second
-		most     = 0.03 // of the looks at all members
+		step         = 10 * time.Millisecond
+		interval     = time.Second
+		wait         = 700 * time.Millisecond
+		watchers     = 4
+		warmUp       = 10 * time.Second
+		end          = 30 * time.Second
+		maximumShare = 0.03 // share of the checks at all processes
 	)
 	for _, size := range []int{14, 65, 194, 300, 1000} {
 		is := is.New(t)
@@ -60,7 +60,7 @@
 			next[i] = time.Duration(random.Int64N(int64(interval)))
 		}
 		start := time.Unix(1000, 0)
-		looks, must := 0, 0
+		checks, mustRead := 0, 0
 		for at := time.Duration(0); at < end; at += step {
 			now := start.Add(at)
 			if at%wait == 0 {
@@ -75,24 +75,24 @@
 				next[i] += interval
 				exchange(now, &members[i], &members[random.IntN(size)])
 			}
-			if at < settled {
+			if at < warmUp {
 				continue
 			}
 			for i := watchers; i < size; i++ {
-				looks++
+				checks++
 				if members[i].MustLook(now, size) {
-					must++
+					mustRead++
 				}
 			}
 		}
-		if share := float64(must) / float64(looks); share > most {
-			t.Errorf("of %d members, a share of %.3f goes to the store", size, share)
+		if share := float64(mustRead) / float64(checks); share > maximumShare {
+			t.Errorf("%d processes: share of checks that read the store is %.3f", size, share)
 		}
-		is.True(looks > 0)
+		is.True(checks > 0)
 	}
 }
 
-// exchange lets two members vouch for each other.
+// exchange makes two members confirm each other's document.
 func exchange(now time.Time, a, b *Freshness) {
 	ageA, knownA := a.Age(now)
 	ageB, knownB := b.Age(now)
@@ -108,22 +108,22 @@
 	start := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	cases := []struct {
-		name string
-		play func(*Freshness)
-		must bool
+		name     string
+		apply    func(*Freshness)
+		mustRead bool
 	}{
-		{"at a start", func(*Freshness) {}, true},
-		{"a moment after a look of its own", func(f *Freshness) { f.Verified(at(9.5)) }, false},
-		{"alone for a while", func(f *Freshness) { f.Verified(at(8.5)) }, true},
-		{"vouched for", func(f *Freshness) { f.Vouched(at(9), time.Second) }, false},
-		{"vouched for too long ago", func(f *Freshness) { f.Vouched(at(5), 0) }, true},
+		{"after the start", func(*Freshness) {}, true},
+		{"after a recent read", func(f *Freshness) { f.Verified(at(9.5)) }, false},
+		{"after an old read", func(f *Freshness) { f.Verified(at(8.5)) }, true},
+		{"confirmed", func(f *Freshness) { f.Vouched(at(9), time.Second) }, false},
+		{"confirmed too long ago", func(f *Freshness) { f.Vouched(at(5), 0) }, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			freshness := &Freshness{}
-			c.play(freshness)
-			is.Equal(freshness.MustLook(at(10), 14), c.must)
+			c.apply(freshness)
+			is.Equal(freshness.MustLook(at(10), 14), c.mustRead)
 		})
 	}
 }
--- a/spread/proof_test.go
+++ b/spread/proof_test.go
@@ -8,132 +8,134 @@
 	"github.com/matryer/is"
 )
 
-// proofMesh is a mesh in virtual time: a store whose document gets new revisions, a few
-// processes that read it, and all others that ask peers. Messages are delayed, lost and
-// cut in one direction, and processes freeze.
+// proofMesh is a simulated mesh in virtual time: a store whose document gets new revisions, a
+// few processes that read it, and others that ask their peers. Messages are delayed or lost,
+// and processes are suspended or have their incoming messages held back.
 type proofMesh struct {
-	random    *rand.Rand
-	now       time.Duration
-	written   []time.Duration // when each revision was written; the first is revision 1
+	random *rand.Rand
+	now    time.Duration
+	// Time at which each revision was written, beginning with revision 1.
+	written   []time.Duration
 	processes []*proofProcess
 	events    []proofEvent
-	weakened  weakness
+	injected  defect
 }
 
-// proofProcess is one process with what it believes.
+// proofProcess is one process with its proof and its document.
 type proofProcess struct {
-	proof  Proof
-	keeper Keeper
-	frozen time.Duration // until then
-	deaf   time.Duration // nothing arrives until then
+	proof       Proof
+	document    Keeper
+	frozenUntil time.Duration
+	// Time until which incoming messages are held back.
+	inboundHeldUntil time.Duration
 }
 
-// proofEvent is something that arrives at a process.
+// proofEvent is the arrival of a message at a process.
 type proofEvent struct {
 	at      time.Duration
 	process *proofProcess
 	arrive  func()
 }
 
-// weakness is a safeguard that is taken away.
-type weakness int
+// defect is the safeguard that a simulation runs without.
+type defect int
 
 const (
-	intact            weakness = iota
-	countsFromArrival          // a proof counts from when the answer came
-	trustsNewerPolicy          // the proof of a peer counts for an older policy as well
-	believesPushes             // what peers tell unasked counts as a proof
+	noDefect          defect = iota
+	countsFromArrival        // a proof counts from the arrival of the answer
+	trustsNewerPolicy        // a peer's proof of a newer revision counts for an older one
+	trustsPushes             // unrequested messages of peers count as proofs
 )
 
 const (
-	proofBound   = 5 * time.Second // after which a revision must not be trusted any more
-	proofStep    = 20 * time.Millisecond
-	proofPlay    = 40 * time.Second
-	proofWorst   = 4 * time.Second // that a message is delayed
-	proofPlays   = 60
-	proofReaders = 3
+	proofBound        = 5 * time.Second // time after which a replaced revision must not be trusted
+	proofStep         = 20 * time.Millisecond
+	proofDuration     = 40 * time.Second
+	proofMaximumDelay = 4 * time.Second // maximum delay of a message
+	proofSimulations  = 60
+	proofReaders      = 3
 )
 
 func (m *proofMesh) time(at time.Duration) time.Time { return time.Unix(1000, 0).Add(at) }
 
-// revision is that of the store.
+// revision returns the revision in the store.
 func (m *proofMesh) revision() uint64 { return uint64(len(m.written)) }
 
-// delay is mostly short and sometimes very long.
+// delay returns a random delay, mostly short and sometimes very long.
 func (m *proofMesh) delay() time.Duration {
 	if m.random.IntN(10) == 0 {
-		return time.Duration(m.random.Int64N(int64(proofWorst)))
+		return time.Duration(m.random.Int64N(int64(proofMaximumDelay)))
 	}
 	return time.Duration(m.random.Int64N(int64(30 * time.Millisecond)))
 }
 
-// later lets something arrive at a process after a delay, unless it is lost.
-func (m *proofMesh) later(at *proofProcess, arrive func()) {
+// schedule schedules the arrival of a message at a process, unless the message is lost.
+func (m *proofMesh) schedule(at *proofProcess, arrive func()) {
 	if m.random.IntN(20) > 0 {
 		m.events = append(m.events, proofEvent{at: m.now + m.delay(), process: at, arrive: arrive})
 	}
 }
 
-// told is what a process tells another one.
-type told struct {
+// status is a process's revision and proof, as sent to another process.
+type status struct {
 	revision uint64
 	age      time.Duration
 	proven   bool
 }
 
-func (m *proofMesh) tell(p *proofProcess) told {
+func (m *proofMesh) statusOf(p *proofProcess) status {
 	age, proven := p.proof.Age(m.time(m.now))
-	return told{revision: p.keeper.Revision(), age: age, proven: proven}
+	return status{revision: p.document.Revision(), age: age, proven: proven}
 }
 
-// take lets a process take what it was told; asked is when it had asked.
-func (m *proofMesh) take(p *proofProcess, what told, asked time.Duration) {
-	if m.weakened == countsFromArrival {
-		asked = m.now
+// handleStatus processes the status of a peer, requested at the given time.
+func (m *proofMesh) handleStatus(p *proofProcess, received status, requestedAt time.Duration) {
+	if m.injected == countsFromArrival {
+		requestedAt = m.now
 	}
-	newer := what.revision > p.keeper.Revision()
-	if newer { // it fetches the document, which arrives later
-		m.later(p, func() { p.keeper.Offer(what.revision, nil) })
+	newer := received.revision > p.document.Revision()
+	if newer { // the process fetches the document, which arrives later
+		m.schedule(p, func() { p.document.Offer(received.revision, nil) })
 	}
-	if what.proven && (!newer || m.weakened == trustsNewerPolicy) {
-		p.proof.Record(m.time(asked - what.age))
+	if received.proven && (!newer || m.injected == trustsNewerPolicy) {
+		p.proof.Record(m.time(requestedAt - received.age))
 	}
 }
 
-// readStore lets a process read the store.
+// readStore makes a process read the store.
 func (m *proofMesh) readStore(p *proofProcess) {
-	asked := m.now
-	m.events = append(m.events, proofEvent{at: m.now + m.delay(), arrive: func() { // at the store
+	requestedAt := m.now
+	m.events = append(m.events, proofEvent{at: m.now + m.delay(), arrive: func() { // runs at the store
 		revision := m.revision()
-		m.later(p, func() {
-			p.keeper.Offer(revision, nil)
-			if m.weakened == countsFromArrival {
-				asked = m.now
+		m.schedule(p, func() {
+			p.document.Offer(revision, nil)
+			if m.injected == countsFromArrival {
+				requestedAt = m.now
 			}
-			p.proof.Record(m.time(asked))
+			p.proof.Record(m.time(requestedAt))
 		})
 	}})
 }
 
-// askPeer lets a process ask another one, and tell it what it knows unasked.
+// askPeer makes a process request the status of a peer; the request carries its own status.
 func (m *proofMesh) askPeer(p, peer *proofProcess) {
-	asked := m.now
-	pushed := m.tell(p)
-	m.later(peer, func() {
-		if m.weakened == believesPushes {
-			m.take(peer, pushed, m.now)
+	requestedAt := m.now
+	pushed := m.statusOf(p)
+	m.schedule(peer, func() {
+		if m.injected == trustsPushes {
+			m.handleStatus(peer, pushed, m.now)
 		}
-		answer := m.tell(peer)
-		m.later(p, func() { m.take(p, answer, asked) })
+		answer := m.statusOf(peer)
+		m.schedule(p, func() { m.handleStatus(p, answer, requestedAt) })
 	})
 }
 
-// deliver lets everything arrive that is due, at processes that are not frozen or deaf.
+// deliver runs the events that are due, at processes that can receive messages.
 func (m *proofMesh) deliver() {
 	due := m.events
 	m.events = nil
 	for _, e := range due {
-		waits := e.at > m.now || (e.process != nil && (e.process.frozen > m.now || e.process.deaf > m.now))
+		waits := e.at > m.now || (e.process != nil && (e.process.frozenUntil > m.now || e.process.inboundHeldUntil > m.now))
 		if waits {
 			m.events = append(m.events, e)
 			continue
@@ -142,10 +144,10 @@
 	}
 }
 
-// play returns how often a process trusted a revision that had been replaced for longer
-// than the bound.
-func (m *proofMesh) play() (broken, trusted int) {
-	for ; m.now < proofPlay; m.now += proofStep {
+// run simulates the mesh. It returns how often a process trusted its revision, and how often
+// that revision had been replaced for longer than the bound.
+func (m *proofMesh) run() (violations, trusted int) {
+	for ; m.now < proofDuration; m.now += proofStep {
 		if m.now == 0 || m.random.IntN(200) == 0 {
 			m.written = append(m.written, m.now)
 		}
@@ -153,11 +155,11 @@
 		for i, p := range m.processes {
 			switch m.random.IntN(2000) {
 			case 0:
-				p.frozen = m.now + time.Duration(m.random.Int64N(int64(8*time.Second)))
+				p.frozenUntil = m.now + time.Duration(m.random.Int64N(int64(8*time.Second)))
 			case 1:
-				p.deaf = m.now + time.Duration(m.random.Int64N(int64(8*time.Second)))
+				p.inboundHeldUntil = m.now + time.Duration(m.random.Int64N(int64(8*time.Second)))
 			}
-			if p.frozen > m.now {
+			if p.frozenUntil > m.now {
 				continue
 			}
 			if i < proofReaders && m.random.IntN(35) == 0 {
@@ -169,65 +171,66 @@
 			if age, known := p.proof.Age(m.time(m.now)); known && age < proofBound {
 				trusted++
 				if m.isStale(p) {
-					broken++
+					violations++
 				}
 			}
 		}
 	}
-	return broken, trusted
+	return violations, trusted
 }
 
-// isStale reports whether a later revision than that of the process was written longer
-// than the bound ago.
+// isStale reports whether the revision after that of the process was written longer than the
+// bound ago.
 func (m *proofMesh) isStale(p *proofProcess) bool {
-	have := p.keeper.Revision()
-	return have < m.revision() && m.now-m.written[have] > proofBound
+	held := p.document.Revision()
+	return held < m.revision() && m.now-m.written[held] > proofBound
 }
 
-func newProofMesh(seed uint64, weakened weakness) *proofMesh {
-	m := &proofMesh{random: rand.New(rand.NewPCG(seed, 3)), weakened: weakened}
+func newProofMesh(seed uint64, injected defect) *proofMesh {
+	m := &proofMesh{random: rand.New(rand.NewPCG(seed, 3)), injected: injected}
 	for range proofReaders + 1 + m.random.IntN(30) {
 		m.processes = append(m.processes, &proofProcess{})
 	}
 	return m
 }
 
-// TestNothingIsTrustedLongerThanItsProof whatever is delayed, lost, frozen or cut.
-func TestNothingIsTrustedLongerThanItsProof(t *testing.T) {
+// TestStaleRevisionIsNotTrusted guards against trust in a revision that was replaced longer
+// ago than the bound, while messages are delayed or lost and processes are suspended.
+func TestStaleRevisionIsNotTrusted(t *testing.T) {
 	allTrusted := 0
-	for seed := range uint64(proofPlays) {
-		broken, trusted := newProofMesh(seed, intact).play()
+	for seed := range uint64(proofSimulations) {
+		violations, trusted := newProofMesh(seed, noDefect).run()
 		allTrusted += trusted
-		if broken > 0 {
-			t.Errorf("seed %d: a replaced revision was trusted %d times", seed, broken)
+		if violations > 0 {
+			t.Errorf("seed %d: a replaced revision was trusted %d times", seed, violations)
 		}
 	}
 	if allTrusted == 0 {
-		t.Error("no process ever trusted anything")
+		t.Error("no process ever trusted a revision")
 	}
 }
 
-// TestEachSafeguardOfProofsIsNeeded takes one after the other away. The plays above must
-// find it out.
-func TestEachSafeguardOfProofsIsNeeded(t *testing.T) {
-	for name, weakened := range map[string]weakness{
-		"a proof counts from when it was asked for": countsFromArrival,
-		"a proof counts for no older policy":        trustsNewerPolicy,
-		"what a peer tells unasked is no proof":     believesPushes,
+// TestEachSafeguardIsNeeded disables one safeguard at a time and expects violations, which
+// shows that TestStaleRevisionIsNotTrusted exercises it.
+func TestEachSafeguardIsNeeded(t *testing.T) {
+	for name, injected := range map[string]defect{
+		"proof counts from the request":      countsFromArrival,
+		"newer revision proves no older one": trustsNewerPolicy,
+		"unrequested status is not a proof":  trustsPushes,
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(proofPlays) {
-				if broken, _ := newProofMesh(seed, weakened).play(); broken > 0 {
+			for seed := range uint64(proofSimulations) {
+				if violations, _ := newProofMesh(seed, injected).run(); violations > 0 {
 					return
 				}
 			}
-			t.Error("no play needs it")
+			t.Error("no violation without this safeguard")
 		})
 	}
 }
 
-// TestAProofIsALowerBound: older news changes nothing.
-func TestAProofIsALowerBound(t *testing.T) {
+// TestOlderProofIsIgnored: recording an older proof must not lower the bound.
+func TestOlderProofIsIgnored(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
 	proof := &Proof{}
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,25 +1,22 @@
-// Package spread decides how a document that changes under a rising revision reaches all
-// processes of a mesh: who watches the store, which revision is taken, how new the document
-// is estimated to be and how new it is proven to be.
+// Package spread distributes a document with increasing revisions to all processes of a mesh.
+// It decides which processes watch the store, which revision a process accepts, and how up to
+// date a process's document is, as an estimate and as a proven bound.
 //
-// A few processes watch the store; all others hear of new revisions from their
-// peers, whose messages all carry the revisions they have. A process takes only
-// higher revisions, whatever the store or a peer shows, so that a configuration
-// that is in force never goes back.
+// A few processes watch the store. All others receive new revisions from their peers, whose
+// messages carry the revisions that they hold. A process accepts only higher revisions,
+// whatever the store or a peer reports, so that a configuration in force is never reverted.
 //
-// The package owns the state of one document in one process, in memory. It does no I/O and
-// has no clock; plugin/configsync reads the store and talks to peers.
+// The package holds the state of one document in one process, in memory. It does no I/O and
+// reads no clock; plugin/configsync reads the store and exchanges messages with peers.
 package spread
 
-// Keeper holds the highest revision of one document. It is not safe for
-// concurrent use.
+// Keeper holds the highest revision of one document. It is not safe for concurrent use.
 type Keeper struct {
 	revision uint64
 	data     []byte
 }
 
-// Offer takes a document when its revision is higher and reports whether it
-// did.
+// Offer replaces the document if the given revision is higher, and reports whether it did.
 func (k *Keeper) Offer(revision uint64, data []byte) bool {
 	if revision <= k.revision {
 		return false
@@ -28,8 +25,8 @@
 	return true
 }
 
-// Revision returns the revision held, 0 for none.
+// Revision returns the revision of the document, 0 if there is none.
 func (k *Keeper) Revision() uint64 { return k.revision }
 
-// Data returns the document held, nil for none. It must not be changed.
+// Data returns the document, nil if there is none. It must not be modified.
 func (k *Keeper) Data() []byte { return k.data }
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-func TestKeeperTakesOnlyHigherRevisions(t *testing.T) {
+func TestKeeperAcceptsOnlyHigherRevisions(t *testing.T) {
 	cases := []struct {
 		offered []uint64
-		kept    uint64
+		want    uint64
 	}{
 		{[]uint64{1}, 1},
 		{[]uint64{1, 2}, 2},
@@ -26,8 +26,8 @@
 				before := keeper.Revision()
 				is.Equal(keeper.Offer(revision, fmt.Append(nil, revision)), revision > before)
 			}
-			is.Equal(keeper.Revision(), c.kept)
-			is.Equal(string(keeper.Data()), fmt.Sprint(c.kept))
+			is.Equal(keeper.Revision(), c.want)
+			is.Equal(string(keeper.Data()), fmt.Sprint(c.want))
 		})
 	}
 }
@@ -54,7 +54,7 @@
 	is.Equal(len(Watchers(ids[:2], 3)), 2)
 	is.True(Watches("alone", nil, 3))
 	is.True(Watches("alone", []string{"alone"}, 1))
-	is.True(!Watches("leaving", ids, 3)) // not among the live ones
+	is.True(!Watches("leaving", ids, 3)) // not in the list of live processes
 }
 
 func ExampleKeeper() {
--- a/spread/watchers.go
+++ b/spread/watchers.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Watchers returns the count processes that watch the store: those that rank highest
-// by a hash of their ids, the first one first. Processes that disagree on who is alive
-// may choose different ones, which costs the store a few more requests and nothing else.
+// Watchers returns the count processes that watch the store: those with the highest hashes of
+// their ids, in descending order. Processes with different views of the membership may choose
+// different watchers, which only causes a few more requests to the store.
 func Watchers(alive []string, count int) []string {
 	ranked := make([]rankedProcess, len(alive))
 	for i, id := range alive {
@@ -28,9 +28,9 @@
 	rank uint64
 }
 
-// Watches reports whether self is one of the Watchers. While fewer processes are known than
-// should watch, one that is not listed itself counts as if it were: it has just started, and
-// the others will list it.
+// Watches reports whether self is one of the Watchers. If at most count processes are known and
+// self is not among them, it is treated as if it were: it has just started, and the other
+// processes are about to list it.
 func Watches(self string, alive []string, count int) bool {
 	if slices.Contains(alive, self) {
 		return slices.Contains(Watchers(alive, count), self)
