--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,10 +1,10 @@
-// Package instance keeps what the back end beside a node says of itself: which
-// incarnation is running, how many requests it works on at a time, and whether
-// it is leaving. It decides whether the node may hand requests to the back end.
+// Package instance tracks the state that the back end beside a node reports: which
+// incarnation is running, how many requests it runs at a time, and whether it is leaving. It
+// decides whether the node may send requests to the back end.
 //
-// The package owns that state in memory; it does no I/O and has no clock. The back end
-// reports by heartbeats, which may come late and out of order; each start of a back end is a
-// new incarnation with a new id. Package platform decodes the heartbeats, plugin/instance
+// The package holds that state in memory; it does no I/O and reads no clock. The back end
+// reports it in heartbeats, which may arrive late and out of order. Each start of a back end is
+// a new incarnation with a new id. Package platform decodes the heartbeats and plugin/instance
 // passes them on.
 package instance
 
@@ -16,35 +16,34 @@
 
 // Report is one heartbeat of a back end.
 type Report struct {
-	// ID names the incarnation.
+	// ID identifies the incarnation.
 	ID string
 	// Service is the service that the back end runs.
 	Service string
-	// Address is where it takes requests, host:port.
+	// Address is where the back end accepts requests, host:port.
 	Address string
-	// Slots is the number of requests that it works on at a time, 0 when it
-	// does not say.
+	// Slots is the number of requests that the back end runs at a time, 0 if not reported.
 	Slots int
-	// Draining says that it is going to leave.
+	// Draining is whether the back end is about to leave.
 	Draining bool
-	// Sequence rises with each heartbeat of an incarnation.
+	// Sequence increases with each heartbeat of an incarnation.
 	Sequence uint64
 }
 
-// State is what is known of the back end. It does not change once returned.
+// State is what the node knows of the back end. A returned State does not change.
 type State struct {
-	// ID names the incarnation, "" when none is known.
+	// ID identifies the incarnation, "" if none is known.
 	ID string
-	// Slots is the number of requests that it works on at a time, 0: unknown.
+	// Slots is the number of requests that the back end runs at a time, 0 if unknown.
 	Slots int
-	// Leaving says that it is draining or has said goodbye.
+	// Leaving is whether the back end is draining or has announced its stop.
 	Leaving bool
-	// ClosesAt is when no more requests may be handed to it, zero while it is
-	// not leaving.
+	// ClosesAt is the time from which no more requests may be sent to the back end, zero
+	// unless it is leaving.
 	ClosesAt time.Time
 }
 
-// Open reports whether requests may be handed to the back end.
+// Open reports whether requests may be sent to the back end.
 func (s State) Open(now time.Time) bool {
 	if s.ID == "" {
 		return false
@@ -54,44 +53,46 @@
 
 // Config configures a Tracker.
 type Config struct {
-	// Service is the service of the back end. Reports of another one are
-	// refused. Required.
+	// Service is the service of the back end. Heartbeats of other services are rejected.
+	// Required.
 	Service string
-	// Address is where the back end takes requests, host:port. Reports with
-	// another address are refused. Empty: any.
+	// Address is where the back end accepts requests, host:port. Heartbeats with another
+	// address are rejected. If empty, any address is accepted.
 	Address string
-	// CloseAfter is how long a leaving back end is still handed requests, so
-	// that callers that have not heard of it lose nothing. Longer loses fewer
-	// offers, but what was promised to the back end bounds it. Default 1s.
+	// CloseAfter is how long requests are still sent to a leaving back end, so that callers
+	// that do not know yet that it is leaving are served. With a longer time, fewer of their
+	// requests are refused. The drain time agreed with the back end is its upper bound.
+	// Default 1s.
 	CloseAfter time.Duration
 }
 
 const defaultCloseAfter = time.Second
 
-// Tracker follows the back end of one node. It is not safe for concurrent use.
+// Tracker tracks the back end of one node. It is not safe for concurrent use.
 type Tracker struct {
 	config   Config
 	state    State
 	sequence uint64
-	former   map[string]uint64 // highest sequence of earlier incarnations, by id
+	// Highest sequence of each earlier incarnation, by id.
+	previous map[string]uint64
 }
 
-// maximumFormer bounds the earlier incarnations that are remembered.
-const maximumFormer = 64
+// maximumPrevious is the maximum number of earlier incarnations that are remembered.
+const maximumPrevious = 64
 
-// NewTracker returns a Tracker that knows of no back end.
+// NewTracker returns a Tracker that does not know a back end yet.
 func NewTracker(config Config) *Tracker {
 	if config.CloseAfter == 0 {
 		config.CloseAfter = defaultCloseAfter
 	}
-	return &Tracker{config: config, former: map[string]uint64{}}
+	return &Tracker{config: config, previous: map[string]uint64{}}
 }
 
-// State returns what is known now.
+// State returns the current state of the back end.
 func (t *Tracker) State() State { return t.state }
 
-// Observe takes a heartbeat. It returns a result.BadRequest error for one that
-// is not of the node's back end; that one must not be acknowledged.
+// Observe processes a heartbeat. It returns a result.BadRequest error if the heartbeat is not
+// from the node's back end; such a heartbeat must not be acknowledged.
 func (t *Tracker) Observe(now time.Time, report Report) error {
 	switch {
 	case report.ID == "":
@@ -105,7 +106,7 @@
 		return nil
 	}
 	if report.Sequence < t.sequence {
-		return nil // a late one; what came after it counts
+		return nil // arrived late, after a newer heartbeat
 	}
 	t.sequence = report.Sequence
 	t.state.Slots = report.Slots
@@ -115,39 +116,40 @@
 	return nil
 }
 
-// begin takes up a new incarnation. It reports false for a late heartbeat of an
-// earlier one.
+// begin switches to a new incarnation. It returns false for a late heartbeat of an earlier
+// incarnation.
 func (t *Tracker) begin(report Report) bool {
-	if seen, exists := t.former[report.ID]; exists && report.Sequence <= seen {
+	if seen, exists := t.previous[report.ID]; exists && report.Sequence <= seen {
 		return false
 	}
 	t.retire()
 	t.state = State{ID: report.ID}
 	t.sequence = 0
-	delete(t.former, report.ID)
+	delete(t.previous, report.ID)
 	return true
 }
 
-// retire remembers the present incarnation as an earlier one.
+// retire records the current incarnation as an earlier one.
 func (t *Tracker) retire() {
 	if t.state.ID == "" {
 		return
 	}
-	if len(t.former) >= maximumFormer {
-		clear(t.former)
+	if len(t.previous) >= maximumPrevious {
+		clear(t.previous)
 	}
-	t.former[t.state.ID] = t.sequence
+	t.previous[t.state.ID] = t.sequence
 }
 
-// Leave takes the goodbye of an incarnation. It may serve on for a while.
+// Leave processes the announcement of an incarnation that it is about to stop. It may keep
+// serving requests for a while.
 func (t *Tracker) Leave(now time.Time, id string) {
 	if id == t.state.ID {
 		t.leave(now)
 	}
 }
 
-// leave begins the closing. A back end that is leaving does not come back, so
-// that what was acknowledged stays true.
+// leave marks the back end as leaving. Leaving is final, so that an acknowledged announcement
+// stays valid.
 func (t *Tracker) leave(now time.Time) {
 	if t.state.Leaving {
 		return
@@ -156,14 +158,14 @@
 	t.state.ClosesAt = now.Add(t.config.CloseAfter)
 }
 
-// Found takes the id that another incarnation gave when it refused a request
-// that was meant for the one known here. The next heartbeat tells the rest.
+// Found processes the id of another incarnation, actual, which refused a request sent to the
+// incarnation expected. The state of the new incarnation is unknown until its next heartbeat.
 func (t *Tracker) Found(expected, actual string) {
 	if expected != t.state.ID || actual == t.state.ID || actual == "" {
 		return
 	}
 	t.retire()
-	delete(t.former, actual)
+	delete(t.previous, actual)
 	t.state = State{}
 	t.sequence = 0
 }
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -11,17 +11,19 @@
 
 const second = time.Second
 
-// step is one event at a time after the start.
+// step is a heartbeat or another event at a time after the start.
 type step struct {
 	at       time.Duration
 	id       string
 	sequence uint64
 	draining bool
-	goodbye  bool   // Leave instead of a heartbeat
-	found    string // another incarnation answered a request for id
+	// Call Leave instead of Observe.
+	goodbye bool
+	// Call Found instead of Observe: this incarnation answered a request for id.
+	found string
 }
 
-func play(tracker *Tracker, steps []step) {
+func applySteps(tracker *Tracker, steps []step) {
 	for _, s := range steps {
 		now := start.Add(s.at)
 		switch {
@@ -43,29 +45,29 @@
 		id    string
 		open  bool
 	}{
-		{"nothing is known", nil, 0, "", false},
+		{"no heartbeat", nil, 0, "", false},
 		{"ready", []step{{id: "a", sequence: 1}}, second, "a", true},
-		{"draining is served for a while", []step{{id: "a", sequence: 1}, {id: "a", sequence: 2, draining: true}}, second / 2, "a", true},
-		{"and then closed", []step{{id: "a", sequence: 1}, {id: "a", sequence: 2, draining: true}}, second, "a", false},
-		{"a repeated announcement does not move the time",
+		{"draining, before CloseAfter", []step{{id: "a", sequence: 1}, {id: "a", sequence: 2, draining: true}}, second / 2, "a", true},
+		{"draining, after CloseAfter", []step{{id: "a", sequence: 1}, {id: "a", sequence: 2, draining: true}}, second, "a", false},
+		{"repeated draining does not extend the time",
 			[]step{{id: "a", sequence: 1, draining: true}, {at: second, id: "a", sequence: 2, draining: true}}, second, "a", false},
-		{"a late heartbeat does not open it again",
+		{"late heartbeat does not reopen",
 			[]step{{id: "a", sequence: 3, draining: true}, {id: "a", sequence: 2}}, second, "a", false},
-		{"nor does a later one", []step{{id: "a", sequence: 3, draining: true}, {id: "a", sequence: 4}}, second, "a", false},
+		{"later heartbeat does not reopen", []step{{id: "a", sequence: 3, draining: true}, {id: "a", sequence: 4}}, second, "a", false},
 		{"goodbye", []step{{id: "a", sequence: 1}, {id: "a", goodbye: true}}, second, "a", false},
-		{"the goodbye of an earlier incarnation", []step{{id: "a", sequence: 1}, {id: "b", sequence: 1}, {id: "a", goodbye: true}}, second, "b", true},
-		{"a new incarnation after a draining one", []step{{id: "a", sequence: 9, draining: true}, {id: "b", sequence: 1}}, second, "b", true},
-		{"a late heartbeat of the earlier incarnation",
+		{"goodbye of an earlier incarnation", []step{{id: "a", sequence: 1}, {id: "b", sequence: 1}, {id: "a", goodbye: true}}, second, "b", true},
+		{"new incarnation after a draining one", []step{{id: "a", sequence: 9, draining: true}, {id: "b", sequence: 1}}, second, "b", true},
+		{"late heartbeat of an earlier incarnation",
 			[]step{{id: "a", sequence: 9}, {id: "b", sequence: 1}, {id: "a", sequence: 9}}, second, "b", true},
 		{"another incarnation answered", []step{{id: "a", sequence: 9}, {id: "a", found: "b"}}, second, "", false},
-		{"and reports", []step{{id: "a", sequence: 9}, {id: "a", found: "b"}, {id: "b", sequence: 1}}, second, "b", true},
-		{"an old answer after the change", []step{{id: "a", sequence: 9}, {id: "b", sequence: 1}, {id: "a", found: "c"}}, second, "b", true},
+		{"another incarnation answered and sent a heartbeat", []step{{id: "a", sequence: 9}, {id: "a", found: "b"}, {id: "b", sequence: 1}}, second, "b", true},
+		{"late answer for an earlier incarnation", []step{{id: "a", sequence: 9}, {id: "b", sequence: 1}, {id: "a", found: "c"}}, second, "b", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			tracker := NewTracker(Config{Service: "s"})
-			play(tracker, c.steps)
+			applySteps(tracker, c.steps)
 			state := tracker.State()
 			is.Equal(state.ID, c.id)
 			is.Equal(state.Open(start.Add(c.at)), c.open)
@@ -73,7 +75,7 @@
 	}
 }
 
-func TestReportsOfOthersAreRefused(t *testing.T) {
+func TestOtherBackEndsAreRejected(t *testing.T) {
 	cases := []struct {
 		name   string
 		report Report
