--- a/quota/decision.go
+++ b/quota/decision.go
@@ -76,7 +76,7 @@
 	// minimumReportThreshold is the minimum of reportThreshold. With a lower one, each
 	// request of the many small tenants would cause a report.
 	minimumReportThreshold = 3
-	// unansweredReports is the number of reportThresholds that may be admitted without an
+	// unansweredReports is the multiple of reportThreshold that may be admitted without an
 	// answer, to allow for reports in flight.
 	unansweredReports = 2
 	// fallbackTolerance is the share of the tolerance reserved for processes that fall back
--- a/spread/proof_test.go
+++ b/spread/proof_test.go
@@ -229,7 +229,7 @@
 	}
 }
 
-// TestOlderProofIsIgnored: recording an older proof must not lower the bound.
+// TestOlderProofIsIgnored: an older proof must not replace a newer one.
 func TestOlderProofIsIgnored(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1000, 0)
