--- a/plugin/once/capture.go
+++ b/plugin/once/capture.go
@@ -11,36 +11,37 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// captureLimit is the size up to which answers are kept, in bytes. Longer ones
-// are passed on, but a repeated request only learns that it was run.
+// captureLimit is the maximum body size of a stored answer, in bytes. Longer answers are
+// passed on but not stored, so that a repeated request gets a result.AlreadyClaimed error.
 const captureLimit = 8 << 10
 
-// capture passes the body of an answer on and keeps a copy of a small one. The
-// outcome is reported once, also when the caller goes away before the end.
+// capture is an answer body that copies what is read from it, up to captureLimit. It calls
+// onEnd exactly once: with the stored answer, or with nil if the body was too large or
+// incomplete.
 type capture struct {
-	source io.ReadCloser
-	status int
-	header http.Header
-	copied bytes.Buffer
-	large  bool
-	once   sync.Once
-	ended  func(*claims.Answer)
+	source   io.ReadCloser
+	status   int
+	header   http.Header
+	copied   bytes.Buffer
+	tooLarge bool
+	once     sync.Once
+	onEnd    func(*claims.Answer)
 }
 
-func newCapture(response *http.Response, ended func(*claims.Answer)) *capture {
+func newCapture(response *http.Response, onEnd func(*claims.Answer)) *capture {
 	return &capture{
-		source: response.Body,
-		status: response.StatusCode,
-		header: response.Header.Clone(),
-		large:  response.ContentLength > captureLimit,
-		ended:  ended,
+		source:   response.Body,
+		status:   response.StatusCode,
+		header:   response.Header.Clone(),
+		tooLarge: response.ContentLength > captureLimit,
+		onEnd:    onEnd,
 	}
 }
 
 // Read implements io.Reader.
 func (c *capture) Read(data []byte) (int, error) {
 	n, err := c.source.Read(data)
-	c.keep(data[:n])
+	c.record(data[:n])
 	if err == io.EOF {
 		c.report(true)
 	} else if err != nil {
@@ -49,33 +50,33 @@
 	return n, err
 }
 
-func (c *capture) keep(data []byte) {
-	if c.large {
+func (c *capture) record(data []byte) {
+	if c.tooLarge {
 		return
 	}
 	if c.copied.Len()+len(data) > captureLimit {
-		c.large = true
+		c.tooLarge = true
 		c.copied = bytes.Buffer{}
 		return
 	}
 	c.copied.Write(data)
 }
 
-func (c *capture) report(whole bool) {
+func (c *capture) report(complete bool) {
 	c.once.Do(func() {
-		if !whole || c.large {
-			c.ended(nil)
+		if !complete || c.tooLarge {
+			c.onEnd(nil)
 			return
 		}
-		c.ended(&claims.Answer{Status: c.status, Header: c.header, Body: c.copied.Bytes()})
+		c.onEnd(&claims.Answer{Status: c.status, Header: c.header, Body: c.copied.Bytes()})
 	})
 }
 
-// Close implements io.Closer. What is left of a small answer is read first, so
-// that a caller that went away can ask for it again.
+// Close implements io.Closer. It first reads the rest of a small answer, so that a caller
+// that disconnected can get the complete answer with a repeated request.
 func (c *capture) Close() error {
 	buffer := make([]byte, 1<<10)
-	for !c.large {
+	for !c.tooLarge {
 		if _, err := c.Read(buffer); err != nil {
 			break
 		}
@@ -84,7 +85,8 @@
 	return c.source.Close()
 }
 
-// replay answers a repeated request with the stored answer.
+// replay answers a repeated request with the stored answer. It returns a
+// result.AlreadyClaimed error if no answer was stored.
 func replay(stored *claims.Answer) (*kernel.Answer, error) {
 	if stored == nil {
 		return nil, uncertain("the request was run before and its answer was not kept")
--- a/plugin/once/golden_test.go
+++ b/plugin/once/golden_test.go
@@ -6,7 +6,8 @@
 	"github.com/matryer/is"
 )
 
-func TestTheLeaseInTheStore(t *testing.T) {
+// TestLeaseName guards the lease name that processes of different versions share.
+func TestLeaseName(t *testing.T) {
 	is := is.New(t)
 	is.Equal(planLeaseName, "loomcleat/claim-planner")
 }
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -13,19 +13,19 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// collectInterval is the time between two tries to collect claims.
+// collectInterval is the time between two attempts to collect claims.
 const collectInterval = 100 * time.Millisecond
 
-// wakeCollector makes collectClaims look at once.
+// wakeCollector makes collectClaims check for missing claims at once.
 func (o *once) wakeCollector() { kernel.Wake(o.wake) }
 
-// collectClaims collects the claims of groups in which this process is a new
-// replica, until it votes there.
+// collectClaims fetches, for each group in which this process is a new replica, the claims
+// of the previous epoch, until this process votes in the group. It runs until ctx is done.
 func (o *once) collectClaims(ctx context.Context) {
 	for {
 		fetches, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Fetch { return o.replica.Fetches() })
 		if err != nil {
-			return // the process ends
+			return // The process is stopping.
 		}
 		o.fetchAll(ctx, fetches)
 		if len(fetches) > 0 {
@@ -33,7 +33,7 @@
 			continue
 		}
 		select {
-		case <-o.wake: // a new epoch
+		case <-o.wake: // A new document was adopted.
 		case <-ctx.Done():
 			return
 		}
@@ -46,30 +46,31 @@
 	}
 	document, err := o.groups.Load().Encode()
 	if err != nil {
-		return // never: the document was decoded from JSON
+		return // Unreachable: the document was decoded from JSON.
 	}
-	var waiting sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, fetch := range fetches {
-		waiting.Go(func() { o.fetch(ctx, fetch, document) })
+		pending.Go(func() { o.fetch(ctx, fetch, document) })
 	}
-	waiting.Wait()
+	pending.Wait()
 }
 
-// handOverTimeout bounds the transfer of the claims of one group.
+// handOverTimeout bounds one transfer of the claims of a group.
 const handOverTimeout = 2 * time.Second
 
+// fetch fetches the claims of a group from one replica of the previous epoch.
 func (o *once) fetch(ctx context.Context, fetch claims.Fetch, document []byte) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	request := wire.HandOverRequest{Group: fetch.Group, Epoch: fetch.Epoch, Document: document}
 	var reply wire.HandOverReply
-	source := o.holder(fetch.From, fetch.Group, fetch.Epoch-1)
+	source := o.voteHolder(fetch.From, fetch.Group, fetch.Epoch-1)
 	err := o.process.Control.Invoke(ctx, source.Control, http.MethodPost, wire.PathHandOver, &request, &reply)
 	if err != nil || !reply.OK {
-		return // it is fetched again, or another replica's claims make the majority
+		return // Fetched again, unless the claims of other replicas make a majority.
 	}
-	// It fails when the process ends, or when the loop was busy for so long that the claims
-	// are fetched again.
+	// An error is dropped: either the process is stopping, or the control loop was busy past
+	// the timeout and the claims are fetched again.
 	_ = o.process.Loop.Do(ctx, func(now time.Time) {
 		if o.replica.TakeOver(now, fetch, reply.Claims) {
 			o.process.Log.Emit(event.ClaimGroupSynced, "group", fetch.Group, "epoch", fetch.Epoch)
@@ -77,8 +78,8 @@
 	})
 }
 
-// serveHandOver gives the claims of a group to a replica of a new epoch. This
-// process learns that epoch first, and with that is fenced.
+// serveHandOver sends the claims of a group to a replica of a new epoch. This process first
+// adopts the document of that epoch, which fences it off from granting claims in the old one.
 func (o *once) serveHandOver(w http.ResponseWriter, r *http.Request) {
 	var request wire.HandOverRequest
 	if !kernel.ReadJSON(w, r, &request) {
@@ -99,7 +100,7 @@
 	kernel.WriteJSON(w, reply)
 }
 
-// serveClaimStatus tells in which groups this process votes.
+// serveClaimStatus reports in which groups this process votes.
 func (o *once) serveClaimStatus(w http.ResponseWriter, r *http.Request) {
 	status, err := o.status(r.Context())
 	if err != nil {
@@ -121,16 +122,16 @@
 	})
 }
 
-// voting counts, for each group, the replicas that vote at the epoch of the
-// document.
-func (o *once) voting(ctx context.Context, document *claims.Groups) []int {
+// countVoters returns, by group index, the number of replicas that vote at the revision of the
+// document. Processes that don't answer within claimTimeout are not counted.
+func (o *once) countVoters(ctx context.Context, document *claims.Groups) []int {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	var mutex sync.Mutex
-	var waiting sync.WaitGroup
+	var pending sync.WaitGroup
 	counts := make([]int, len(document.Groups))
-	for _, replica := range o.holders(document) {
-		waiting.Go(func() {
+	for _, replica := range o.voteHolders(document) {
+		pending.Go(func() {
 			status, err := o.statusOf(ctx, replica)
 			if err != nil || status.Revision != document.Revision {
 				return
@@ -144,17 +145,17 @@
 			}
 		})
 	}
-	waiting.Wait()
+	pending.Wait()
 	return counts
 }
 
-// holders returns the processes that have votes in any group, each once.
-func (o *once) holders(document *claims.Groups) []claims.Process {
+// voteHolders returns the processes that hold a vote in any group, without duplicates.
+func (o *once) voteHolders(document *claims.Groups) []claims.Process {
 	seen := map[string]bool{}
 	all := []claims.Process{}
 	for i, group := range document.Groups {
 		for _, replica := range group.Replicas {
-			holder := o.holder(replica, i, group.Epoch)
+			holder := o.voteHolder(replica, i, group.Epoch)
 			if !seen[holder.ID] {
 				seen[holder.ID] = true
 				all = append(all, holder)
@@ -173,19 +174,20 @@
 	return status, err
 }
 
-// leaveGroups waits until this process, which is stopping, is no longer needed
-// as a replica. Another process plans the groups without it.
+// leaveGroups waits until this process, which is stopping, is no longer needed as a replica
+// because another process has planned the groups without it. If that takes longer than
+// replacementTimeout, it transfers its votes itself.
 func (o *once) leaveGroups(ctx context.Context) {
 	if len(kernel.LiveIDs(*o.process.Members.Load())) == 0 {
-		return // nobody could take over
+		return // No other process could take over.
 	}
-	deadline := time.Now().Add(replacementPatience)
+	deadline := time.Now().Add(replacementTimeout)
 	for ctx.Err() == nil {
 		document := o.groups.Load()
 		if document == nil || o.released(ctx, document) {
 			return
 		}
-		if time.Now().After(deadline) { // the store does not answer
+		if time.Now().After(deadline) { // The store may be unreachable.
 			o.handOverVotes(ctx)
 			return
 		}
@@ -193,19 +195,19 @@
 	}
 }
 
-// released reports whether this process has no vote in any group, its own or one that it
-// took, and all groups vote without it.
+// released reports whether this process holds no vote, neither its own nor one taken over,
+// and every group has a voting majority without it.
 func (o *once) released(ctx context.Context, document *claims.Groups) bool {
 	votes, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
 	if err != nil || len(votes) > 0 {
 		return false
 	}
-	for _, holder := range o.holders(document) {
+	for _, holder := range o.voteHolders(document) {
 		if holder.ID == o.self.ID {
 			return false
 		}
 	}
-	for group, count := range o.voting(ctx, document) {
+	for group, count := range o.countVoters(ctx, document) {
 		if !document.Groups[group].HasMajority(count) {
 			return false
 		}
--- a/plugin/once/key.go
+++ b/plugin/once/key.go
@@ -6,20 +6,20 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// writeKey tells a node the key under which a call may run. Plug-in identity has set it.
-func writeKey(call *kernel.Call, told *wire.CallContext) {
+// writeKey adds the claim key of a call, which plug-in identity has set, to the call context.
+func writeKey(call *kernel.Call, callContext *wire.CallContext) {
 	if call.ClaimKey != (claims.Key{}) {
-		told.ClaimKey = call.ClaimKey.String()
+		callContext.ClaimKey = call.ClaimKey.String()
 	}
 }
 
-// readKey takes the key that the calling process has told. The calls that the back end
-// makes for the request get keys derived from it. It returns a result.BadRequest error
-// for a key that is malformed.
-func readKey(call *kernel.Call, told *wire.CallContext) error {
-	fromMesh := told.Request != "" // what callers outside the mesh say of a key does not count
-	if fromMesh && told.ClaimKey != "" {
-		if err := call.ClaimKey.UnmarshalText([]byte(told.ClaimKey)); err != nil {
+// readKey sets the claim key of a call from the received call context. The keys of calls
+// that the back end makes for the request are derived from it. It returns a
+// result.BadRequest error for a malformed key.
+func readKey(call *kernel.Call, callContext *wire.CallContext) error {
+	fromMesh := callContext.Request != "" // Keys from callers outside the mesh are ignored.
+	if fromMesh && callContext.ClaimKey != "" {
+		if err := call.ClaimKey.UnmarshalText([]byte(callContext.ClaimKey)); err != nil {
 			return err
 		}
 	}
--- a/plugin/once/once.go
+++ b/plugin/once/once.go
@@ -13,28 +13,37 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// once is the at-most-once part of one process. The replica is owned by the
-// control loop.
+// once is the state of the plug-in in one process. The replica is owned by the control loop.
 type once struct {
 	process *kernel.Process
 	self    claims.Process
 	replica *claims.Replica
-	held    atomic.Int64 // claims of the replica
-	groups  atomic.Pointer[claims.Groups]
-	runs    *runs
-	wake    chan struct{}
+	// Number of claims in the replica, for readers outside the control loop.
+	held atomic.Int64
+	// The groups document in force, nil before the first one.
+	groups atomic.Pointer[claims.Groups]
+	runs   *runs
+	// Wakes collectClaims.
+	wake chan struct{}
 }
 
-// Times of claiming.
+// Bounds of a claim.
 const (
-	claimTimeout   = 400 * time.Millisecond  // for the reply of one replica
-	claimPatience  = 1500 * time.Millisecond // for a claim in all, while the group changes
-	claimRounds    = 2                       // without a majority, while it does not change
-	claimBackoff   = 20 * time.Millisecond
-	outcomeTimeout = time.Second // for one question to a runner
+	// claimTimeout bounds the request to one replica.
+	claimTimeout = 400 * time.Millisecond
+	// maximumClaimTime is the time after which a claim starts no further round.
+	maximumClaimTime = 1500 * time.Millisecond
+	// maximumUnavailableRounds is the number of consecutive rounds without enough replies
+	// after which a claim fails. A round in which the group changes resets the count.
+	maximumUnavailableRounds = 2
+	// claimBackoff is the minimum pause between two rounds, and the pause between two
+	// requests for the outcome of a run.
+	claimBackoff = 20 * time.Millisecond
+	// outcomeTimeout bounds one request for the outcome of a run.
+	outcomeTimeout = time.Second
 )
 
-// middleware claims calls that may not be repeated.
+// middleware claims the key of each call that may not be repeated before the call runs.
 func (o *once) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		if call.Policy.Repeatable {
@@ -47,24 +56,25 @@
 	})
 }
 
-// handle runs a call at most once.
+// handle runs a call at most once. A call whose key already has a run in this process waits
+// for that run.
 func (o *once) handle(next kernel.Handler, call *kernel.Call) (*kernel.Answer, error) {
 	for {
-		current, fresh := o.runs.begin(clock.Now().Time(), call.ClaimKey, call.Fingerprint)
-		if !fresh {
-			again, answer, err := o.joinLocal(call, current)
-			if again {
+		current, isNew := o.runs.begin(clock.Now().Time(), call.ClaimKey, call.Fingerprint)
+		if !isNew {
+			retry, answer, err := o.joinLocal(call, current)
+			if retry {
 				continue
 			}
 			return answer, err
 		}
-		return o.runFresh(next, call, current)
+		return o.runNew(next, call, current)
 	}
 }
 
-// joinLocal waits for a run of the same key in this process. It reports again
-// when that run ended without having run.
-func (o *once) joinLocal(call *kernel.Call, current *run) (again bool, answer *kernel.Answer, err error) {
+// joinLocal waits for a run of the same key in this process and returns its stored answer.
+// It sets retry if that run never reached the back end, so that the call may claim the key.
+func (o *once) joinLocal(call *kernel.Call, current *run) (retry bool, answer *kernel.Answer, err error) {
 	if current.fingerprint != call.Fingerprint {
 		return false, nil, keyReused()
 	}
@@ -82,26 +92,27 @@
 	return false, answer, err
 }
 
-// runFresh claims the key and runs the call.
-func (o *once) runFresh(next kernel.Handler, call *kernel.Call, current *run) (*kernel.Answer, error) {
-	won, err := o.claim(call, current)
-	if err != nil || !won.granted {
-		current.end(wire.RunNeverRan, nil)
-		o.runs.forget(current)
+// runNew claims the key of a call and runs the call, or returns the answer of an earlier
+// run elsewhere.
+func (o *once) runNew(next kernel.Handler, call *kernel.Call, current *run) (*kernel.Answer, error) {
+	outcome, err := o.claim(call, current)
+	if err != nil || !outcome.granted {
+		current.finish(wire.RunNeverRan, nil)
+		o.runs.remove(current)
 		if err != nil {
 			return nil, err
 		}
-		return replay(won.answer)
+		return replay(outcome.answer)
 	}
-	if clock.Now().Sub(won.asked) > o.process.Settings.ClaimRetention.Std()/2 {
-		o.abandon(won.group, current)
+	if clock.Now().Sub(outcome.requestedAt) > o.process.Settings.ClaimRetention.Std()/2 {
+		o.abandon(outcome.group, current)
 		return nil, result.New(result.ClaimUnavailable, "the claim became too old before the request could run").WithUsualRetryAfter()
 	}
-	return o.runClaimed(next, call, current, won.group)
+	return o.runClaimed(next, call, current, outcome.group)
 }
 
-// runClaimed hands the call to the back end. A caller that goes away does not
-// cancel it.
+// runClaimed passes the call on to the back end. It is not cancelled when the caller
+// disconnects, only at its deadline, so that its outcome can be stored.
 func (o *once) runClaimed(next kernel.Handler, call *kernel.Call, current *run, group int) (*kernel.Answer, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(call.Context), call.Deadline.Left())
 	call.Context = ctx
@@ -112,13 +123,13 @@
 			o.abandon(group, current)
 			return nil, err
 		}
-		current.end(wire.RunFinished, nil)
+		current.finish(wire.RunFinished, nil)
 		o.process.Log.Emit(event.ClaimOutcomeUncertain, "key", call.ClaimKey.String(), "error", err)
 		return nil, err
 	}
 	answer.Body = newCapture(answer.Response, func(stored *claims.Answer) {
 		cancel()
-		current.end(wire.RunFinished, stored)
+		current.finish(wire.RunFinished, stored)
 		if stored != nil {
 			o.process.Go(func() { o.publish(group, current, stored) })
 		}
@@ -126,11 +137,11 @@
 	return answer, nil
 }
 
-// abandon gives up a run that was claimed and has not run.
+// abandon withdraws the claim of a run that did not reach the back end.
 func (o *once) abandon(group int, current *run) {
 	id := current.ID()
-	current.end(wire.RunNeverRan, nil)
-	o.runs.forget(current)
+	current.finish(wire.RunNeverRan, nil)
+	o.runs.remove(current)
 	o.process.Go(func() { o.withdraw(group, current.key, id) })
 }
 
--- a/plugin/once/planner.go
+++ b/plugin/once/planner.go
@@ -14,42 +14,52 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Planning of the claim groups. One process plans; when two believe that it is
-// their turn, compare-and-swap in the store lets one of them succeed.
+// Planning of the claim groups. One process, chosen by hash, plans; if two consider
+// themselves the planner, compare-and-swap in the store lets only one of them succeed.
 const (
-	planInterval   = 250 * time.Millisecond // while this process is the planner
-	idlePlanWait   = time.Second            // otherwise
+	// planInterval is the time between two plans in the planner.
+	planInterval = 250 * time.Millisecond
+	// idlePlanWait is the time after which another process checks whether it has become the
+	// planner.
+	idlePlanWait = time.Second
+	// planFailedWait is the time until the next plan after an error.
 	planFailedWait = 2 * time.Second
-	settleTime     = time.Second // after the start, before groups are first formed
-	planLeaseName  = "loomcleat/claim-planner"
-	planLeaseTime  = 10 * time.Second // Consul's shortest
+	// settleTime is the time after the start during which members are discovered before this
+	// process plans.
+	settleTime = time.Second
+	// planLeaseName is the name of the planner's lease in the store.
+	planLeaseName = "loomcleat/claim-planner"
+	// planLeaseTime is the lifetime of a lease that is not released; Consul accepts no
+	// shorter one.
+	planLeaseTime = 10 * time.Second
 )
 
-// planGroups keeps the claim groups in shape while this process is the planner.
+// planGroups adapts the claim groups to the members of the mesh while this process is the
+// planner. It runs until ctx is done.
 func (o *once) planGroups(ctx context.Context) {
 	kernel.Pause(ctx, settleTime)
-	lost := 0
+	lostBefore := 0
 	for ctx.Err() == nil {
 		wait := idlePlanWait
 		members := *o.process.Members.Load()
 		if !o.process.Leaving() && spread.Watches(o.self.ID, kernel.LiveIDs(members), 1) {
 			wait = planInterval
-			found, err := o.planOnce(ctx, members)
+			lostNow, err := o.planOnce(ctx, members)
 			if err != nil && ctx.Err() == nil {
 				o.process.Log.Emit(event.ClaimGroupPlanFailed, "error", err)
 				wait = planFailedWait
 			}
-			if found > lost {
-				o.process.Log.Emit(event.ClaimMajorityLost, "groups", found)
+			if lostNow > lostBefore {
+				o.process.Log.Emit(event.ClaimMajorityLost, "groups", lostNow)
 			}
-			lost = found
+			lostBefore = lostNow
 		}
 		kernel.Pause(ctx, wait)
 	}
 }
 
-// planOnce writes new groups when those known do not suit the mesh. It returns
-// the number of groups that have lost their majority.
+// planOnce writes a new groups document if the known one does not fit the members. It
+// returns the number of groups that have lost their majority.
 func (o *once) planOnce(ctx context.Context, members []membership.Member) (lost int, err error) {
 	candidates := o.candidates(members)
 	plan := o.planner().Plan(o.groups.Load(), candidates)
@@ -60,17 +70,18 @@
 	if err != nil || !acquired {
 		return plan.Lost, err
 	}
-	// A lease that can't be released runs out by itself after planLeaseTime.
+	// A lease that can't be released expires after planLeaseTime.
 	defer func() { _ = lease.Release(context.WithoutCancel(ctx)) }()
 	return o.writePlan(ctx, candidates)
 }
 
-// planner returns the Planner of this mesh.
+// planner returns a Planner with the configured numbers of groups and replicas.
 func (o *once) planner() claims.Planner {
 	return claims.Planner{Groups: o.process.Settings.ClaimGroups, Replicas: o.process.Settings.ClaimReplicas}
 }
 
-// writePlan reads the groups from the store, plans on them and writes them.
+// writePlan reads the groups document from the store, plans the next one from it and writes
+// that. It returns the number of groups that have lost their majority.
 func (o *once) writePlan(ctx context.Context, candidates []claims.Candidate) (lost int, err error) {
 	entry, err := o.process.Store.Get(ctx, claims.StoreKey)
 	if err != nil {
@@ -82,7 +93,7 @@
 		if current, err = claims.DecodeGroups(entry.Value); err != nil {
 			return 0, err
 		}
-		counts := o.voting(ctx, current)
+		counts := o.countVoters(ctx, current)
 		planner.Voting = func(group int) bool { return current.Groups[group].HasMajority(counts[group]) }
 	}
 	plan := planner.Plan(current, candidates)
@@ -95,13 +106,13 @@
 	}
 	wrote, err := o.process.Store.CompareAndSwap(ctx, claims.StoreKey, data, entry.Index)
 	if err != nil || !wrote {
-		return plan.Lost, err // the next round reads what became of it
+		return plan.Lost, err // The next plan reads the store again.
 	}
 	o.process.Log.Emit(event.ClaimGroupPlanned, "revision", plan.Next.Revision, "changed", plan.Changed)
 	return plan.Lost, o.process.Documents.Offer(ctx, wire.DocumentGroups, data)
 }
 
-// offerStored takes what the store has, in case this process is behind.
+// offerStored offers the document in the store to this process, which may have an older one.
 func (o *once) offerStored(ctx context.Context, entry store.Entry) error {
 	if !entry.Exists {
 		return nil
@@ -109,11 +120,12 @@
 	return o.process.Documents.Offer(ctx, wire.DocumentGroups, entry.Value)
 }
 
-// machineStateAge is how old a reading of the machine list may be to confirm
-// that a process has ended.
-const machineStateAge = 10 * time.Second
+// maximumMachineListAge is the maximum age at which a reading of the machine list may
+// confirm that a process is gone.
+const maximumMachineListAge = 10 * time.Second
 
-// candidates describes the mesh for the planner.
+// candidates returns the members as candidates for the planner. A dead member whose vote a
+// live member has taken over counts as alive but leaving.
 func (o *once) candidates(members []membership.Member) []claims.Candidate {
 	listed := o.listedMachines()
 	live := map[string]bool{}
@@ -122,10 +134,10 @@
 			live[member.Control] = true
 		}
 	}
-	represented := map[string]bool{} // replicas whose votes live members have taken
+	represented := map[string]bool{} // Ids of replicas whose votes live members have taken over.
 	for _, member := range members {
 		for _, vote := range member.Votes {
-			if _, replica, found := cutVoteName(vote); found && member.Status != membership.Dead {
+			if _, replica, found := parseVoteName(vote); found && member.Status != membership.Dead {
 				represented[replica] = true
 			}
 		}
@@ -147,11 +159,11 @@
 	return candidates
 }
 
-// listedMachines returns the control addresses on the machine list, nil when no
-// recent reading is at hand.
+// listedMachines returns the control addresses on the machine list, nil if the last reading
+// is missing or older than maximumMachineListAge.
 func (o *once) listedMachines() map[string]bool {
 	state := o.process.MachineState.Load()
-	if state == nil || clock.Now().Sub(state.At) > machineStateAge {
+	if state == nil || clock.Now().Sub(state.At) > maximumMachineListAge {
 		return nil
 	}
 	listed := map[string]bool{}
--- a/plugin/once/replicas.go
+++ b/plugin/once/replicas.go
@@ -12,8 +12,8 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// askReplicas asks all replicas of a group for a claim and returns once the
-// round is decided.
+// askReplicas requests a claim from all replicas of a group in parallel and returns as soon
+// as the round is decided.
 func (o *once) askReplicas(ctx context.Context, index int, group claims.Group, claim claims.Claim) *claims.Round {
 	round := claims.NewRound(group)
 	type answer struct {
@@ -23,7 +23,7 @@
 	answers := make(chan answer, len(group.Replicas))
 	for _, replica := range group.Replicas {
 		go func() {
-			reply, err := o.askReplica(ctx, o.holder(replica, index, group.Epoch), wire.ClaimRequest{Group: index, Epoch: group.Epoch, Claim: claim})
+			reply, err := o.askReplica(ctx, o.voteHolder(replica, index, group.Epoch), wire.ClaimRequest{Group: index, Epoch: group.Epoch, Claim: claim})
 			answers <- answer{reply, err}
 		}()
 	}
@@ -41,11 +41,13 @@
 	return round
 }
 
+// askReplica requests a claim from one replica. The request is not cancelled with ctx, only
+// after claimTimeout.
 func (o *once) askReplica(ctx context.Context, replica claims.Process, request wire.ClaimRequest) (claims.Reply, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	defer cancel()
 	if replica.ID == o.self.ID {
-		return o.ask(ctx, request)
+		return o.askOwnReplica(ctx, request)
 	}
 	var reply wire.ClaimReply
 	err := o.process.Control.Invoke(ctx, replica.Control, http.MethodPost, wire.PathClaim, &request, &reply)
@@ -56,51 +58,53 @@
 	return reply.Reply, nil
 }
 
-// ask asks the replica of this process.
-func (o *once) ask(ctx context.Context, request wire.ClaimRequest) (claims.Reply, error) {
+// askOwnReplica requests a claim from the replica of this process.
+func (o *once) askOwnReplica(ctx context.Context, request wire.ClaimRequest) (claims.Reply, error) {
 	return kernel.Ask(ctx, o.process.Loop, func(now time.Time) claims.Reply {
 		return o.replica.Ask(now, request.Group, request.Epoch, request.Claim)
 	})
 }
 
-// withdraw removes the claim of a run that has not run, as far as the replicas
-// can be reached. Where it cannot be removed, the key stays blocked until it
-// expires.
+// withdraw removes the claim of a run that did not reach the back end from all replicas that
+// can be reached. At the others the claim blocks the key until it expires.
 func (o *once) withdraw(group int, key claims.Key, id string) {
-	o.tellReplicas(group, wire.PathWithdraw, wire.ClaimUpdate{Group: group, Key: key, Run: id})
+	o.updateReplicas(group, wire.PathWithdraw, wire.ClaimUpdate{Group: group, Key: key, Run: id})
 }
 
-// publish stores the answer of a run at the replicas, so that it can be given
-// to a caller that asks again after this process has ended.
+// publish stores the answer of a run at the replicas, so that a repeated request gets it
+// even after this process has stopped.
 func (o *once) publish(group int, current *run, stored *claims.Answer) {
-	o.tellReplicas(group, wire.PathFinish, wire.ClaimUpdate{Group: group, Key: current.key, Run: current.ID(), Answer: stored})
+	o.updateReplicas(group, wire.PathFinish, wire.ClaimUpdate{Group: group, Key: current.key, Run: current.ID(), Answer: stored})
 }
 
-func (o *once) tellReplicas(group int, path string, update wire.ClaimUpdate) {
+// updateReplicas sends a change of a claim to all replicas of its group. Errors are dropped.
+func (o *once) updateReplicas(group int, path string, update wire.ClaimUpdate) {
 	document := o.groups.Load()
 	if document == nil || group >= len(document.Groups) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	var waiting sync.WaitGroup
+	var pending sync.WaitGroup
 	epoch := document.Groups[group].Epoch
 	for _, replica := range document.Groups[group].Replicas {
-		replica = o.holder(replica, group, epoch)
-		waiting.Go(func() {
+		replica = o.voteHolder(replica, group, epoch)
+		pending.Go(func() {
 			if replica.ID == o.self.ID {
 				o.process.Loop.Post(func(time.Time) { o.update(path, update) })
 				return
 			}
-			// A replica that does not hear of it keeps the claim, without the answer, until it
-			// expires: the request is refused or its outcome is unknown, but it runs once.
+			// A replica that can't be reached keeps the claim, without the answer, until it
+			// expires. A repeated request may then be refused or get an unknown outcome, but
+			// it does not run twice.
 			_ = o.process.Control.Invoke(ctx, replica.Control, http.MethodPost, path, &update, &wire.Empty{})
 		})
 	}
-	waiting.Wait()
+	pending.Wait()
 }
 
-// update changes a claim in the replica of this process, on the control loop.
+// update applies a change to a claim in the replica of this process. It runs on the control
+// loop.
 func (o *once) update(path string, update wire.ClaimUpdate) {
 	if path == wire.PathWithdraw {
 		o.replica.Withdraw(update.Group, update.Key, update.Run)
@@ -109,12 +113,13 @@
 	o.replica.Finish(update.Group, update.Key, update.Run, update.Answer)
 }
 
+// serveClaim answers a claim with the vote of this process's replica.
 func (o *once) serveClaim(w http.ResponseWriter, r *http.Request) {
 	var request wire.ClaimRequest
 	if !kernel.ReadJSON(w, r, &request) {
 		return
 	}
-	reply, err := o.ask(r.Context(), request)
+	reply, err := o.askOwnReplica(r.Context(), request)
 	if err != nil {
 		result.From(err).WriteHTTP(w)
 		return
@@ -122,7 +127,8 @@
 	kernel.WriteJSON(w, wire.ClaimReply{Reply: reply, Revision: o.process.Documents.Revisions().Groups})
 }
 
-// serveUpdate returns the handler of withdrawals, or of answers to be stored, by the path.
+// serveUpdate returns the handler for changes of claims: withdrawals under wire.PathWithdraw,
+// answers to store under wire.PathFinish.
 func (o *once) serveUpdate(path string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var update wire.ClaimUpdate
@@ -138,7 +144,7 @@
 	}
 }
 
-// serveOutcome tells what became of a run of this process.
+// serveOutcome reports the state of a run of this process, and its answer if it was stored.
 func (o *once) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	var request wire.OutcomeRequest
 	if !kernel.ReadJSON(w, r, &request) {
@@ -146,7 +152,7 @@
 	}
 	reply := wire.OutcomeReply{State: wire.RunUnknown}
 	if request.Runner == o.self.ID {
-		reply.State = wire.RunNeverRan // every run that went on is in the table
+		reply.State = wire.RunNeverRan // Every run that reached the back end is in the table.
 		if known := o.runs.find(request.Key, request.Run); known != nil {
 			reply.State, reply.Answer = known.outcome()
 		}
--- a/plugin/once/runs.go
+++ b/plugin/once/runs.go
@@ -13,30 +13,32 @@
 	key         claims.Key
 	fingerprint uint64
 	started     time.Time
-	done        chan struct{} // closed when the outcome is known
+	// Closed when the outcome is known.
+	done chan struct{}
 
-	mutex  sync.Mutex
-	id     string // of the claim now asked for
+	mutex sync.Mutex
+	// Id of the latest claim; each round makes a new one.
+	id     string
 	state  wire.RunState
 	answer *claims.Answer
 }
 
-// setID sets the id of the claim that is asked for now.
+// setID sets the id of the claim that is being requested.
 func (r *run) setID(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.id = id
 }
 
-// ID returns the id of the claim last asked for.
+// ID returns the id of the claim that was requested last.
 func (r *run) ID() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.id
 }
 
-// end sets the outcome, once.
-func (r *run) end(state wire.RunState, answer *claims.Answer) {
+// finish sets the outcome. Only the first call has an effect.
+func (r *run) finish(state wire.RunState, answer *claims.Answer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.state != wire.RunActive {
@@ -46,48 +48,48 @@
 	close(r.done)
 }
 
-// outcome returns the state and the answer when it was kept.
+// outcome returns the state of the run and its answer, nil if that was not stored.
 func (r *run) outcome() (wire.RunState, *claims.Answer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.state, r.answer
 }
 
-// runs is the table of the runs of this process.
+// runs is the table of the runs of this process. It is safe for concurrent use.
 type runs struct {
 	retention time.Duration
 	mutex     sync.Mutex
 	byKey     map[claims.Key]*run
-	order     []*run // by start time
+	order     []*run // By start time.
 }
 
 func newRuns(retention time.Duration) *runs {
 	return &runs{retention: retention, byKey: map[claims.Key]*run{}}
 }
 
-// begin enters a run, or returns the one that the key has already.
-func (t *runs) begin(now time.Time, key claims.Key, fingerprint uint64) (entered *run, fresh bool) {
+// begin adds a run for a key, or returns the existing one with false.
+func (t *runs) begin(now time.Time, key claims.Key, fingerprint uint64) (added *run, isNew bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known, exists := t.byKey[key]; exists {
 		return known, false
 	}
-	entered = &run{key: key, fingerprint: fingerprint, started: now, done: make(chan struct{}), state: wire.RunActive}
-	t.byKey[key] = entered
-	t.order = append(t.order, entered)
-	return entered, true
+	added = &run{key: key, fingerprint: fingerprint, started: now, done: make(chan struct{}), state: wire.RunActive}
+	t.byKey[key] = added
+	t.order = append(t.order, added)
+	return added, true
 }
 
-// forget removes a run that never ran, so that the request may be sent again.
-func (t *runs) forget(entered *run) {
+// remove removes a run that did not reach the back end, so that the request may be repeated.
+func (t *runs) remove(added *run) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.byKey[entered.key] == entered {
-		delete(t.byKey, entered.key)
+	if t.byKey[added.key] == added {
+		delete(t.byKey, added.key)
 	}
 }
 
-// find returns the run of a key with the given claim id, nil when there is none.
+// find returns the run of a key if its latest claim has the given id, and nil otherwise.
 func (t *runs) find(key claims.Key, id string) *run {
 	t.mutex.Lock()
 	known := t.byKey[key]
@@ -98,7 +100,7 @@
 	return known
 }
 
-// expire forgets runs that are older than the retention time.
+// expire removes runs that started more than the retention time ago.
 func (t *runs) expire(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/plugin/once/setup.go
+++ b/plugin/once/setup.go
@@ -1,11 +1,11 @@
-// Package once makes sure that a request that may not be repeated runs at most once, with
-// the setting claims: true; without claims it does nothing. The rules are those of package
-// claims: before the back end sees the request, a majority of the replicas of its key's
-// group have granted it.
+// Package once makes sure that a request that may not be repeated runs at most once. Before
+// a node passes such a request to its back end, a majority of the replicas of the claim
+// group of its key must have granted a claim; package claims holds the rules. The plug-in is
+// inactive unless the setting claims is true.
 //
-// It owns this process's replica of the claims, on the control loop, and the table of its
-// own runs. It relies on the store for the Groups document, which plug-in configsync
-// spreads, and on plug-in identity for the keys.
+// It owns this process's replica of the claims, on the control loop, and the table of this
+// process's runs. It relies on the store for the groups document, on plug-in configsync to
+// distribute that document, and on plug-in identity for the keys.
 package once
 
 import (
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// housekeepingInterval is the time between two clean-ups of expired claims.
+// housekeepingInterval is the time between two removals of expired claims and runs.
 const housekeepingInterval = 500 * time.Millisecond
 
-// adopt takes a new document of claim groups. It runs on the control loop.
+// adopt puts a new groups document in force. It runs on the control loop.
 func (o *once) adopt(now time.Time, data []byte) {
 	document, err := claims.DecodeGroups(data)
 	if err != nil {
-		return // offers are checked before they are adopted
+		return // Unreachable: documents are checked before they are adopted.
 	}
 	if o.replica.Adopt(now, document) {
 		o.groups.Store(document)
@@ -81,7 +81,7 @@
 	}
 }
 
-// housekeeping runs on the control loop.
+// housekeeping removes expired claims and runs. It runs on the control loop.
 func (o *once) housekeeping(now time.Time) {
 	o.replica.Expire(now)
 	o.replica.Forget(now)
--- a/plugin/once/votes.go
+++ b/plugin/once/votes.go
@@ -17,14 +17,14 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// voteName is how a vote of another replica is announced in the record of the member that
-// has it, among its Places: group, epoch and the replica.
+// voteName returns the name under which a member announces, in its Votes, a vote that it has
+// taken over: group, epoch and id of the original replica, separated by slashes.
 func voteName(vote claims.Vote) string {
 	return strings.Join([]string{strconv.Itoa(vote.Group), strconv.FormatUint(vote.Epoch, 10), vote.Replica}, "/")
 }
 
-// cutVoteName returns the group and the replica of a vote's name.
-func cutVoteName(name string) (group, replica string, found bool) {
+// parseVoteName returns the group and the replica of a name made by voteName.
+func parseVoteName(name string) (group, replica string, found bool) {
 	parts := strings.SplitN(name, "/", 3)
 	if len(parts) != 3 {
 		return "", "", false
@@ -32,8 +32,8 @@
 	return parts[0], parts[2], true
 }
 
-// announceVotes tells the mesh which votes of others this process has. It runs on the
-// control loop.
+// announceVotes announces to the mesh the votes that this process has taken over. It runs on
+// the control loop.
 func (o *once) announceVotes() {
 	names := []string{}
 	for _, vote := range o.replica.TakenVotes() {
@@ -42,9 +42,9 @@
 	o.process.Mesh.SetVotes(names)
 }
 
-// holder returns the process that has the vote of a replica: the replica itself, unless
-// a member announces that it has taken the vote.
-func (o *once) holder(replica claims.Process, group int, epoch uint64) claims.Process {
+// voteHolder returns the process that holds the vote of a replica: the replica itself, unless
+// a member announces that it has taken the vote over.
+func (o *once) voteHolder(replica claims.Process, group int, epoch uint64) claims.Process {
 	name := voteName(claims.Vote{Group: group, Epoch: epoch, Replica: replica.ID})
 	for _, member := range *o.process.Members.Load() {
 		if member.Status != membership.Dead && slices.Contains(member.Votes, name) {
@@ -54,41 +54,41 @@
 	return replica
 }
 
-// replacementPatience is how long a stopping process waits to be replaced in its groups by
-// a new epoch before it transfers its votes itself.
-const replacementPatience = 2 * time.Second
+// replacementTimeout is how long a stopping process waits for a new epoch to replace it in
+// its groups before it transfers its votes itself.
+const replacementTimeout = 2 * time.Second
 
-// handOverVotes transfers each vote of this process to another one. A vote whose transfer
-// fails is lost until the next epoch.
+// handOverVotes transfers each vote of this process to another process. A vote whose
+// transfer fails is missing until the next epoch.
 func (o *once) handOverVotes(ctx context.Context) {
 	votes, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
 	document := o.groups.Load()
 	if err != nil || document == nil || len(votes) == 0 {
-		return // there is nothing to hand over, or no time left to stop
+		return // There is nothing to transfer, or the time to stop is over.
 	}
 	data, err := document.Encode()
 	if err != nil {
-		return // never: the document was decoded from JSON
+		return // Unreachable: the document was decoded from JSON.
 	}
 	for _, vote := range votes {
 		o.handOverVote(ctx, vote, o.successors(document, vote), data)
 	}
 }
 
-// successors lists who may take a vote: live processes that have no vote in the group,
-// those of the own zone first.
+// successors returns the processes that may take over a vote: live processes without a vote
+// in the group, those in the zone of this process first.
 func (o *once) successors(document *claims.Groups, vote claims.Vote) []claims.Process {
 	if vote.Group >= len(document.Groups) {
 		return nil
 	}
-	taken := map[string]bool{o.self.ID: true}
+	excluded := map[string]bool{o.self.ID: true}
 	for _, replica := range document.Groups[vote.Group].Replicas {
-		taken[replica.ID] = true
-		taken[o.holder(replica, vote.Group, vote.Epoch).ID] = true
+		excluded[replica.ID] = true
+		excluded[o.voteHolder(replica, vote.Group, vote.Epoch).ID] = true
 	}
 	candidates := []membership.Member{}
 	for _, member := range *o.process.Members.Load() {
-		if member.Status == membership.Alive && !member.Leaving && !taken[member.ID] {
+		if member.Status == membership.Alive && !member.Leaving && !excluded[member.ID] {
 			candidates = append(candidates, member)
 		}
 	}
@@ -106,9 +106,9 @@
 	return list
 }
 
-// handOverVote transfers a vote to the first successor that takes it. One that refuses has
-// not taken it, so that the next may be asked. When an answer is lost, it is not known
-// whether the vote was taken, and nobody else is asked.
+// handOverVote transfers a vote to the first successor that accepts it. After a refusal the
+// next successor is asked. After an error it stops: the vote may have been accepted, and two
+// processes must not hold the same vote.
 func (o *once) handOverVote(ctx context.Context, vote claims.Vote, successors []claims.Process, document []byte) {
 	request, err := kernel.Ask(ctx, o.process.Loop, func(now time.Time) *wire.VoteTransfer {
 		handed, ok := o.replica.GiveVote(now, vote)
@@ -118,20 +118,20 @@
 		return &wire.VoteTransfer{Vote: vote, Claims: handed, Document: document}
 	})
 	if err != nil || request == nil {
-		return // no time is left to stop, or a new epoch has replaced this process
+		return // The time to stop is over, or a new epoch has replaced this process.
 	}
 	for _, successor := range successors {
 		var reply wire.VoteTransferReply
-		asking, cancel := context.WithTimeout(ctx, handOverTimeout)
-		err := o.process.Control.Invoke(asking, successor.Control, http.MethodPost, wire.PathVote, request, &reply)
+		transfer, cancel := context.WithTimeout(ctx, handOverTimeout)
+		err := o.process.Control.Invoke(transfer, successor.Control, http.MethodPost, wire.PathVote, request, &reply)
 		cancel()
 		if err != nil || reply.OK {
-			return // taken, or not known: asking another one could give the vote twice
+			return // Accepted or unknown: another transfer could duplicate the vote.
 		}
 	}
 }
 
-// serveVote takes a vote.
+// serveVote takes over a vote that a stopping replica transfers.
 func (o *once) serveVote(w http.ResponseWriter, r *http.Request) {
 	var request wire.VoteTransfer
 	if !kernel.ReadJSON(w, r, &request) {
