--- a/plugin/quarantine/attempt.go
+++ b/plugin/quarantine/attempt.go
@@ -10,10 +10,10 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// middleware keeps a request that crashes what runs it from taking down all back ends of its
-// service, again and again, with all the other requests that these work on: neither the
-// process that repeats an attempt nor the caller that tries again can know. It stands right
-// before the back end, so that what became known while a request waited counts.
+// middleware refuses a request that has crashed several back ends. Otherwise retries, by a
+// process or by the caller, would crash all back ends of the service together with the other
+// requests in flight there. It is the last middleware before the back end, so that crashes
+// reported while a request waited in a queue count.
 func (p *plugin) middleware(next kernel.Handler) kernel.Handler {
 	return kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 		verdict, left := p.decide(call)
@@ -22,15 +22,15 @@
 		}
 		answer, err := next.Handle(call)
 		if err != nil {
-			return nil, p.finished(call, verdict, result.From(err))
+			return nil, p.recordOutcome(call, verdict, result.From(err))
 		}
 		answer.Body = &answerBody{ReadCloser: answer.Body, plugin: p, call: call, verdict: verdict}
 		return answer, nil
 	})
 }
 
-// decide says what is to be done with a call. While no request is suspected, which is nearly
-// always, that costs nothing.
+// decide returns the verdict on a call and, for a refused one, the time until the next trial.
+// While no request is suspected, it takes no lock and computes no signature.
 func (p *plugin) decide(call *kernel.Call) (quarantine.Verdict, time.Duration) {
 	if !p.hasSuspects.Load() {
 		return quarantine.Admit, 0
@@ -41,8 +41,8 @@
 	return p.ledger.Decide(clock.Now().Time(), signature, func() bool { return p.runsTrials(signature) })
 }
 
-// runsTrials reports whether this process is the one, of the nodes of its service, that
-// lets a quarantined request through for a trial.
+// runsTrials reports whether this process is the node of its service that admits a
+// quarantined request as a trial.
 func (p *plugin) runsTrials(signature quarantine.Signature) bool {
 	nodes := []string{p.process.ID}
 	for _, member := range *p.process.Members.Load() {
@@ -53,20 +53,20 @@
 	return quarantine.TrialNode(signature, nodes) == p.process.ID
 }
 
-// finished takes note of how a call ended, nil for a whole answer, and returns what its
-// caller is told.
-func (p *plugin) finished(call *kernel.Call, verdict quarantine.Verdict, err *result.Error) error {
+// recordOutcome records the outcome of a call, nil for a complete answer, and returns the error
+// for its caller.
+func (p *plugin) recordOutcome(call *kernel.Call, verdict quarantine.Verdict, err *result.Error) error {
 	if verdict == quarantine.Trial {
 		defer p.endTrial(call.Signature())
 	}
 	if err != nil {
-		return p.recordLoss(call, err)
+		return p.recordFailure(call, err)
 	}
 	if call.Instance == "" && p.unnamedCrashed.CompareAndSwap(true, false) {
-		p.unnamed.Add(1)
+		p.unnamedIncarnation.Add(1)
 	}
 	if p.hasSuspects.Load() {
-		p.answered(call.Signature())
+		p.clearSuspicion(call.Signature())
 	}
 	return nil
 }
@@ -77,10 +77,10 @@
 	p.ledger.EndTrial(signature)
 }
 
-// recordLoss remembers a request that was handed to the back end and ended without an
-// answer, has the back end checked when the connection broke, and returns what the caller is
-// told. A back end that has said that it leaves may end with requests in flight.
-func (p *plugin) recordLoss(call *kernel.Call, err *result.Error) error {
+// recordFailure records a request that was sent to the back end and got no complete answer, and
+// returns the error for its caller. If the connection broke, it starts a crash check. A back
+// end that has announced that it leaves is ignored, since it may stop with requests in flight.
+func (p *plugin) recordFailure(call *kernel.Call, err *result.Error) error {
 	switch err.Code {
 	case result.ConnectionLost, result.CallerCancelled, result.DeadlineExceeded:
 	default:
@@ -91,22 +91,22 @@
 	}
 	signature := call.Signature()
 	now := clock.Now().Time()
-	broken := err.Code == result.ConnectionLost
+	connectionBroken := err.Code == result.ConnectionLost
 	p.mutex.Lock()
 	instance := p.incarnation(call)
-	p.lost.Add(now, instance, signature)
-	if broken {
+	p.unanswered.Add(now, instance, signature)
+	if connectionBroken {
 		p.check = crashCheck{instance: instance, since: now, dialed: p.check.dialed}
 	}
-	oneMore := p.ledger.QuarantinedByNextCrash(signature)
+	nextQuarantines := p.ledger.QuarantinedByNextCrash(signature)
 	p.mutex.Unlock()
-	if !broken {
+	if !connectionBroken {
 		return err
 	}
 	p.requestCheck()
-	if oneMore {
-		// One more crash is enough for the quarantine: another attempt would crash another
-		// back end before this one is known to have crashed.
+	if nextQuarantines {
+		// The next crash completes the quarantine. An error that allows a retry could crash
+		// another back end before this crash is detected.
 		return result.Wrap(result.CrashSuspected, err, "the connection broke, as it did at other back ends that crashed")
 	}
 	return err
--- a/plugin/quarantine/body.go
+++ b/plugin/quarantine/body.go
@@ -9,14 +9,14 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// answerBody finds out how an answer ends: a request that crashes a back end in the middle
-// of its answer is a lost one.
+// answerBody records the outcome of a call at the end of its answer, since a request may
+// crash the back end in the middle of the answer.
 type answerBody struct {
 	io.ReadCloser
-	plugin  *plugin
-	call    *kernel.Call
-	verdict quarantine.Verdict
-	ended   bool
+	plugin   *plugin
+	call     *kernel.Call
+	verdict  quarantine.Verdict
+	recorded bool
 }
 
 // Read implements io.Reader.
@@ -25,11 +25,11 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		b.end(nil)
+		b.recordEnd(nil)
 	case b.call.Context.Err() != nil:
-		b.end(result.Wrap(result.CallerCancelled, err, "the caller went away during the answer"))
+		b.recordEnd(result.Wrap(result.CallerCancelled, err, "caller cancelled before the answer was complete"))
 	default:
-		b.end(result.Wrap(result.ConnectionLost, err, "the answer broke off"))
+		b.recordEnd(result.Wrap(result.ConnectionLost, err, "connection broke before the answer was complete"))
 	}
 	return n, err
 }
@@ -37,15 +37,16 @@
 // Close implements io.Closer.
 func (b *answerBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.end(result.New(result.CallerCancelled, "the answer was not read to its end"))
+	b.recordEnd(result.New(result.CallerCancelled, "answer body closed before it was read completely"))
 	return err
 }
 
-// end takes note of the end of an answer, nil for one that is whole.
-func (b *answerBody) end(err *result.Error) {
-	if b.ended {
+// recordEnd records the outcome of the call, nil for a complete answer. Only the first call has an
+// effect.
+func (b *answerBody) recordEnd(err *result.Error) {
+	if b.recorded {
 		return
 	}
-	b.ended = true
-	_ = b.plugin.finished(b.call, b.verdict, err) // the reader of the body has its own error
+	b.recorded = true
+	_ = b.plugin.recordOutcome(b.call, b.verdict, err) // The reader of the body gets the error of Read.
 }
--- a/plugin/quarantine/crashcheck.go
+++ b/plugin/quarantine/crashcheck.go
@@ -14,42 +14,46 @@
 	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
-// Bounds of the check of a back end that has lost a request.
+// Bounds of a crash check.
 const (
-	// settleTime is waited for after a lost request, so that the others that were lost in
-	// the same crash are known.
+	// settleTime is the delay of a check after a broken connection, so that the other
+	// requests in flight during the same crash are recorded first.
 	settleTime = 3 * time.Millisecond
 	// checkInterval is the time between two steps of the check.
 	checkInterval = 100 * time.Millisecond
-	// dialPause is the least time between two connections that are opened only to see
-	// whether the back end is there: each may hold one of its slots for a moment.
-	dialPause = 50 * time.Millisecond
+	// minimumDialInterval is the minimum time between two connections that are opened only to check
+	// the back end: each may briefly occupy one of its slots.
+	minimumDialInterval = 50 * time.Millisecond
 	// dialTimeout bounds the opening of such a connection. The back end is on the same
-	// machine, which refuses at once when nothing listens.
+	// machine, which refuses connections at once if nothing listens.
 	dialTimeout = 500 * time.Millisecond
-	// dialsPerLoss is the number of connections that are opened after a lost request. The
-	// second one is for a back end whose machine still accepted the first.
-	dialsPerLoss = 2
-	// checkTime is how long the check goes on. A back end that has crashed is back, as
-	// another incarnation, within some seconds.
-	checkTime = 10 * time.Second
+	// dialsPerBreak is the number of connections that are opened after a broken connection.
+	// The second one detects a crash during which the machine still accepted the first.
+	dialsPerBreak = 2
+	// maximumCheckTime bounds a check. A crashed back end is expected to restart, as another
+	// incarnation, within some seconds.
+	maximumCheckTime = 10 * time.Second
 )
 
-// crashCheck is the check whether a back end that has lost a request has crashed. The zero
-// value is none.
+// crashCheck is a check whether the back end has crashed after it broke a connection. The
+// zero value means that no check is open.
 type crashCheck struct {
-	instance string    // the incarnation that is checked
-	since    time.Time // of the last lost request
-	dialed   time.Time // when a connection was last opened
-	dials    int       // since the last lost request
+	// The incarnation that is checked.
+	instance string
+	// Time of the last broken connection.
+	since time.Time
+	// Time of the last connection opened for the check.
+	dialed time.Time
+	// Connections opened for the check after the last broken connection.
+	dials int
 }
 
 // requestCheck wakes detectCrashes.
 func (p *plugin) requestCheck() { kernel.Wake(p.checkDue) }
 
-// detectCrashes finds out whether the back end has crashed, each time a request was lost.
+// detectCrashes runs crash checks on request, until ctx is done.
 func (p *plugin) detectCrashes(ctx context.Context) {
-	var steps <-chan time.Time // only while a check is open
+	var steps <-chan time.Time // Nil while no check is open.
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	ticker.Stop()
@@ -71,22 +75,22 @@
 	}
 }
 
-// stepCheck looks at the back end once and reports whether the check stays open.
+// stepCheck performs one step of the open check and reports whether the check stays open.
 func (p *plugin) stepCheck(ctx context.Context, now time.Time) bool {
 	check, dial := p.nextStep(now)
 	switch {
 	case check.instance == "":
 		return false
 	case p.isLeaving(check.instance):
-		p.closeCheck(check.instance) // its end is planned
+		p.closeCheck(check.instance) // A graceful stop is no crash.
 		return false
 	case p.isReplaced(check.instance):
-		p.crashed(check.instance, "replaced")
+		p.recordCrash(check.instance, "replaced")
 		return false
-	case dial && refuses(ctx, p.process.Settings.Backend):
-		p.crashed(check.instance, "refuses-connections")
+	case dial && refusesConnections(ctx, p.process.Settings.Backend):
+		p.recordCrash(check.instance, "refuses-connections")
 		return false
-	case now.Sub(check.since) > checkTime:
+	case now.Sub(check.since) > maximumCheckTime:
 		p.closeCheck(check.instance)
 		return false
 	default:
@@ -94,12 +98,13 @@
 	}
 }
 
-// nextStep returns the open check, and whether a connection is to be opened in this step.
+// nextStep returns the open check and whether to open a connection in this step. It counts
+// that connection.
 func (p *plugin) nextStep(now time.Time) (open crashCheck, dial bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	open = p.check
-	dial = open.instance != "" && open.dials < dialsPerLoss && now.Sub(open.dialed) >= dialPause
+	dial = open.instance != "" && open.dials < dialsPerBreak && now.Sub(open.dialed) >= minimumDialInterval
 	if dial {
 		p.check.dials++
 		p.check.dialed = now
@@ -107,7 +112,7 @@
 	return open, dial
 }
 
-// closeCheck ends the check of an incarnation.
+// closeCheck closes the check of an incarnation. A check of another one stays open.
 func (p *plugin) closeCheck(instance string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -116,38 +121,39 @@
 	}
 }
 
-// crashed takes note that an incarnation has crashed while it worked on requests, and tells
-// all others. found says how that showed.
-func (p *plugin) crashed(instance, found string) {
+// recordCrash records that an incarnation crashed with requests in flight and reports the crash
+// to all processes. evidence is for the log.
+func (p *plugin) recordCrash(instance, evidence string) {
 	p.closeCheck(instance)
 	p.unnamedCrashed.Store(true)
 	p.mutex.Lock()
-	suspects := p.lost.Suspects(instance)
-	again := p.lastCrashed == instance // more was lost with it than was known at first
+	suspects := p.unanswered.Suspects(instance)
+	repeated := p.lastCrashed == instance // Further requests that were in flight during the same crash.
 	p.lastCrashed = instance
-	p.noteOwn(instance)
+	p.recordOwnCrash(instance)
 	p.mutex.Unlock()
-	if !again {
+	if !repeated {
 		p.crashCount.Add(1)
 	}
-	p.process.Log.Emit(event.BackendCrashed, "backend", p.process.Settings.Backend, "instance", instance, "found", found,
+	p.process.Log.Emit(event.BackendCrashed, "backend", p.process.Settings.Backend, "instance", instance, "found", evidence,
 		"suspects", len(suspects), "signatures", suspects)
 	crashes := []quarantine.Crash{{ID: instance, Suspects: suspects}}
-	if p.learn(clock.Now().Time(), crashes, p.process.ID) {
+	if p.mergeReports(clock.Now().Time(), crashes, p.process.ID) {
 		go p.broadcast(crashes)
 	}
 }
 
-// incarnation names the incarnation that a call was handed to. Where the back end gives
-// itself no name, one that answers again after a crash counts as another.
+// incarnation returns the id of the incarnation that a call was sent to. For a back end that
+// sends no id, it is made from the process id and a counter, which grows with the first
+// complete answer after a crash.
 func (p *plugin) incarnation(call *kernel.Call) string {
 	if call.Instance != "" {
 		return call.Instance
 	}
-	return fmt.Sprintf("%s/%d", p.process.ID, p.unnamed.Load())
+	return fmt.Sprintf("%s/%d", p.process.ID, p.unnamedIncarnation.Load())
 }
 
-// isLeaving reports whether an incarnation has said that it leaves.
+// isLeaving reports whether an incarnation has announced that it leaves.
 func (p *plugin) isLeaving(instance string) bool {
 	if p.process.BackEnd == nil {
 		return false
@@ -156,7 +162,7 @@
 	return state.ID == instance && state.Leaving
 }
 
-// isReplaced reports whether another incarnation stands in the place of the given one.
+// isReplaced reports whether the back end now sends heartbeats as another incarnation.
 func (p *plugin) isReplaced(instance string) bool {
 	if p.process.BackEnd == nil {
 		return false
@@ -165,12 +171,12 @@
 	return present != "" && present != instance
 }
 
-// refuses reports whether nothing listens at an address. A connection that is reset or
-// takes too long says nothing: back ends do that when they are full.
-func refuses(ctx context.Context, address string) bool {
+// refusesConnections reports whether nothing listens at an address. Timeouts and resets don't
+// count, since overloaded back ends cause them as well.
+func refusesConnections(ctx context.Context, address string) bool {
 	conn, err := socket.Dialer{Timeout: dialTimeout}.DialContext(ctx, "tcp", address)
 	if err == nil {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // Nothing was sent on the connection.
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
--- a/plugin/quarantine/crashes.go
+++ b/plugin/quarantine/crashes.go
@@ -9,54 +9,58 @@
 	"github.com/loomcleat/loomcleat/quarantine"
 )
 
-// expireInterval is the time between two looks for crashes that are too old.
+// expireInterval is the time between two removals of expired crashes.
 const expireInterval = 10 * time.Second
 
-// maximumOwnCrashes bounds the crashes that are remembered as own ones.
+// maximumOwnCrashes bounds the number of recorded crashes of the own back end. When it is
+// reached, the record starts empty again.
 const maximumOwnCrashes = 256
 
-// learn merges reports of crashes and reports whether any of it was new.
-func (p *plugin) learn(now time.Time, crashes []quarantine.Crash, from string) (isNew bool) {
+// mergeReports merges reported crashes into the ledger and returns whether any of them was new.
+// from is the reporting process or "store", for the log.
+func (p *plugin) mergeReports(now time.Time, crashes []quarantine.Crash, from string) (isNew bool) {
 	quarantined := []quarantine.Signature{}
 	own := false
 	p.mutex.Lock()
 	for _, crash := range crashes {
-		newHere, by := p.ledger.Report(now, crash)
-		isNew = isNew || newHere
-		quarantined = append(quarantined, by...)
+		isNewHere, signatures := p.ledger.Report(now, crash)
+		isNew = isNew || isNewHere
+		quarantined = append(quarantined, signatures...)
 	}
 	for _, signature := range quarantined {
-		own = own || slices.ContainsFunc(p.ledger.SuspectedOf(signature), p.isOwn)
+		own = own || slices.ContainsFunc(p.ledger.SuspectedOf(signature), p.isOwnCrash)
 	}
-	p.publish()
+	p.updateHasSuspects()
 	p.mutex.Unlock()
 	for _, signature := range quarantined {
 		p.process.Log.Emit(event.RequestQuarantined, "signature", signature, "from", from)
 	}
 	if own {
-		p.save()
+		p.requestSave()
 	}
 	return isNew
 }
 
-// isOwn reports whether a crash was one of the back end beside this node. All nodes that
-// lost a back end to a request write to the store that it is in quarantine, since each may
-// have learned of the crash that completed the number from another one. The mutex is held.
-func (p *plugin) isOwn(crash string) bool { return p.ownCrashes[crash] }
+// isOwnCrash reports whether a crash was one of this node's back end. Every node whose back end
+// crashed under a quarantined request writes that request to the store: the crash that
+// completed the quarantine may have been reported to each of them by another one. The caller
+// holds the mutex.
+func (p *plugin) isOwnCrash(crash string) bool { return p.ownCrashes[crash] }
 
-// noteOwn remembers a crash of the back end beside this node. The mutex is held.
-func (p *plugin) noteOwn(crash string) {
+// recordOwnCrash records a crash of this node's back end. The caller holds the mutex.
+func (p *plugin) recordOwnCrash(crash string) {
 	if len(p.ownCrashes) >= maximumOwnCrashes || p.ownCrashes == nil {
 		p.ownCrashes = map[string]bool{}
 	}
 	p.ownCrashes[crash] = true
 }
 
-// answered clears a request that a back end has answered, and tells all.
-func (p *plugin) answered(signature quarantine.Signature) {
+// clearSuspicion clears the suspicion against a request that got a complete answer, and reports
+// that to all processes.
+func (p *plugin) clearSuspicion(signature quarantine.Signature) {
 	p.mutex.Lock()
 	cleared := p.ledger.Answered(clock.Now().Time(), signature)
-	p.publish()
+	p.updateHasSuspects()
 	p.mutex.Unlock()
 	if len(cleared) == 0 {
 		return
@@ -65,16 +69,16 @@
 	go p.broadcast(cleared)
 }
 
-// expire runs on the control loop.
+// expire removes expired crashes. It runs on the control loop.
 func (p *plugin) expire(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.ledger.Expire(now)
-	p.publish()
+	p.updateHasSuspects()
 }
 
-// publish tells those that do not hold the mutex whether attempts and answers must be
-// looked at. The mutex is held.
-func (p *plugin) publish() {
+// updateHasSuspects updates hasSuspects, which is read without the mutex, from the ledger.
+// The caller holds the mutex.
+func (p *plugin) updateHasSuspects() {
 	p.hasSuspects.Store(p.ledger.HasSuspects())
 }
--- a/plugin/quarantine/golden_test.go
+++ b/plugin/quarantine/golden_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestTheKeyInTheStore: what lies under it is written as wire.Crashes, whose JSON package
-// wire compares with its files.
-func TestTheKeyInTheStore(t *testing.T) {
+// TestStoreKey guards the key that processes of different versions share. The golden files of
+// package wire cover the JSON form of the value, a wire.Crashes.
+func TestStoreKey(t *testing.T) {
 	is := is.New(t)
 	is.Equal(storeKey, "quarantine")
 }
--- a/plugin/quarantine/peers.go
+++ b/plugin/quarantine/peers.go
@@ -15,25 +15,25 @@
 
 // Bounds of messages between processes.
 const (
-	// reportTimeout bounds one report. A process that does not answer learns of the crash
-	// by gossip.
+	// reportTimeout bounds one report. A process that does not answer gets the crashes
+	// through gossip.
 	reportTimeout = 500 * time.Millisecond
-	// reportsAtOnce is the number of reports that are on their way at a time.
-	reportsAtOnce = 16
-	// pullTimeout bounds the transfer of all that a peer knows.
+	// maximumConcurrentReports is the maximum number of concurrent reports.
+	maximumConcurrentReports = 16
+	// pullTimeout bounds the transfer of all crashes that a peer knows.
 	pullTimeout = time.Second
-	// pullAgain is the time for which no peer is asked again about the same digest: one that
-	// knows less than this process shows another digest until it has caught up.
-	pullAgain = 2 * time.Second
-	// maximumPulled bounds the digests that are remembered.
-	maximumPulled = 64
+	// minimumPullInterval is the minimum time between two pulls for the same digest. A peer that knows
+	// fewer crashes than this process keeps sending another digest until it has caught up.
+	minimumPullInterval = 2 * time.Second
+	// maximumPulledDigests bounds the number of recorded digests.
+	maximumPulledDigests = 64
 )
 
-// broadcast reports crashes to all processes, those of the own service first: their back
-// ends are the next to run the request.
+// broadcast reports crashes to all processes, those of the own service first, since their
+// back ends are the next to run the request.
 func (p *plugin) broadcast(crashes []quarantine.Crash) {
 	message := wire.Crashes{From: p.process.ID, Crashes: crashes}
-	limit := make(chan struct{}, reportsAtOnce)
+	limit := make(chan struct{}, maximumConcurrentReports)
 	pending := sync.WaitGroup{}
 	for _, member := range p.peers() {
 		limit <- struct{}{}
@@ -41,15 +41,15 @@
 			defer func() { <-limit }()
 			ctx, cancel := context.WithTimeout(p.process.Context(), reportTimeout)
 			defer cancel()
-			// The error is dropped: a process that is not reached learns of the crash by
-			// gossip, and plugin membership logs which members do not answer.
+			// The error is dropped: a process that can't be reached gets the crashes through
+			// gossip, and plug-in membership logs which members don't answer.
 			_ = p.process.Control.Invoke(ctx, member.Control, http.MethodPost, wire.PathQuarantine, &message, &wire.Empty{})
 		})
 	}
 	pending.Wait()
 }
 
-// peers returns the other processes, those of the own service first.
+// peers returns the other members that are not dead, those of the own service first.
 func (p *plugin) peers() []membership.Member {
 	own, others := []membership.Member{}, []membership.Member{}
 	for _, member := range *p.process.Members.Load() {
@@ -64,17 +64,17 @@
 	return append(own, others...)
 }
 
-// receiveCrashes takes the reports of another process.
+// receiveCrashes handles the reports of another process.
 func (p *plugin) receiveCrashes(w http.ResponseWriter, r *http.Request) {
 	var message wire.Crashes
 	if !kernel.ReadJSON(w, r, &message) {
 		return
 	}
-	p.learn(clock.Now().Time(), message.Crashes, message.From)
+	p.mergeReports(clock.Now().Time(), message.Crashes, message.From)
 	kernel.WriteJSON(w, wire.Empty{})
 }
 
-// serveCrashes answers another process with all that is known here.
+// serveCrashes returns all crashes that this process knows.
 func (p *plugin) serveCrashes(w http.ResponseWriter, _ *http.Request) {
 	p.mutex.Lock()
 	answer := wire.Crashes{From: p.process.ID, Crashes: p.ledger.All(clock.Now().Time())}
@@ -89,41 +89,43 @@
 	return p.ledger.Digest(clock.Now().Time())
 }
 
-// Heard implements kernel.Quarantine: it fetches what the peer may know beyond what is
-// known here. That is how processes that were cut off or have just started learn.
+// Heard implements kernel.Quarantine. If the digest of the peer differs, it fetches the
+// crashes that the peer knows, so that processes which were partitioned or have just started
+// catch up.
 func (p *plugin) Heard(peer string, digest uint64) {
 	if digest == 0 || digest == p.Digest() || !p.pulling.CompareAndSwap(false, true) {
 		return
 	}
-	if !p.worthPulling(clock.Now().Time(), digest) {
+	if !p.mayPull(clock.Now().Time(), digest) {
 		p.pulling.Store(false)
 		return
 	}
 	go p.pull(peer)
 }
 
-// worthPulling reports whether no peer was asked about a digest a moment ago.
-func (p *plugin) worthPulling(now time.Time, digest uint64) bool {
+// mayPull reports whether the last pull for a digest was at least minimumPullInterval ago, and
+// records a new one if so.
+func (p *plugin) mayPull(now time.Time, digest uint64) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if at, known := p.pulled[digest]; known && now.Sub(at) < pullAgain {
+	if at, known := p.pulledAt[digest]; known && now.Sub(at) < minimumPullInterval {
 		return false
 	}
-	if len(p.pulled) >= maximumPulled || p.pulled == nil {
-		p.pulled = map[uint64]time.Time{}
+	if len(p.pulledAt) >= maximumPulledDigests || p.pulledAt == nil {
+		p.pulledAt = map[uint64]time.Time{}
 	}
-	p.pulled[digest] = now
+	p.pulledAt[digest] = now
 	return true
 }
 
-// pull fetches all that a peer knows.
+// pull fetches all crashes that a peer knows.
 func (p *plugin) pull(peer string) {
 	defer p.pulling.Store(false)
 	ctx, cancel := context.WithTimeout(p.process.Context(), pullTimeout)
 	defer cancel()
 	var answer wire.Crashes
 	if err := p.process.Control.Invoke(ctx, peer, http.MethodGet, wire.PathQuarantine, nil, &answer); err != nil {
-		return // the next message of any peer with another digest tries again
+		return // The next message with a different digest, from any peer, causes another pull.
 	}
-	p.learn(clock.Now().Time(), answer.Crashes, answer.From)
+	p.mergeReports(clock.Now().Time(), answer.Crashes, answer.From)
 }
--- a/plugin/quarantine/setup.go
+++ b/plugin/quarantine/setup.go
@@ -1,11 +1,11 @@
-// Package quarantine refuses requests that crash the back ends which run them, once
-// enough of them have. A node finds out when the back end beside it has crashed, and tells
-// all other processes which requests were lost with it.
+// Package quarantine refuses requests that have crashed several back ends. A node detects
+// crashes of its back end and reports to all other processes which requests were in flight.
+// The root package quarantine decides which requests are refused.
 //
-// It owns what this process knows of crashes, and the entry of the store that keeps
-// quarantined requests over a restart of all processes. The decisions are made by package
-// quarantine at the root. It relies on the heartbeats of the back end (plugin instance) to
-// tell its incarnations apart, on gossip to carry digests, and on the list of members.
+// It owns the ledger of known crashes in this process, and the store entry that preserves
+// quarantined requests across a restart of all processes. It relies on the heartbeats of the
+// back end (plug-in instance) to distinguish its incarnations, on gossip to carry digests of
+// the ledger, and on the list of members.
 package quarantine
 
 import (
@@ -42,32 +42,42 @@
 	process.UseInbound(name, p.middleware)
 	process.OnStart(p.detectCrashes)
 	if process.Store != nil {
-		process.OnStart(p.keepStored)
+		process.OnStart(p.syncStore)
 	}
 	return nil
 }
 
-// plugin holds what one process knows of crashes, and stands beside the back end of a
-// node.
+// plugin is the state of the plug-in in one process.
 type plugin struct {
-	process     *kernel.Process
-	checkDue    chan struct{} // wakes detectCrashes
-	saveDue     chan struct{} // wakes keepStored
-	hasSuspects atomic.Bool   // of the ledger
-	pulling     atomic.Bool   // a peer is asked for what it knows
-	crashCount  atomic.Int64  // crashes of the back end beside this node
+	process *kernel.Process
+	// Wakes detectCrashes.
+	checkDue chan struct{}
+	// Wakes syncStore.
+	saveDue chan struct{}
+	// Whether the ledger has suspects, for readers without the mutex.
+	hasSuspects atomic.Bool
+	// Whether crashes are being fetched from a peer.
+	pulling atomic.Bool
+	// Crashes of this node's back end.
+	crashCount atomic.Int64
 
-	// Of a back end that gives its incarnations no names.
-	unnamed        atomic.Int64 // number of the present incarnation
-	unnamedCrashed atomic.Bool  // it has crashed, and none has answered since
+	// Counter of the incarnations of a back end that sends no ids.
+	unnamedIncarnation atomic.Int64
+	// Whether such a back end has crashed and not answered since.
+	unnamedCrashed atomic.Bool
 
-	mutex       sync.Mutex // guards what follows
-	ledger      *quarantine.Ledger
-	lost        quarantine.LostRequests
-	check       crashCheck
-	lastCrashed string               // the incarnation of the last crash beside this node
-	ownCrashes  map[string]bool      // ids of the crashes beside this node
-	pulled      map[uint64]time.Time // digests that a peer was asked about, and when
+	// Guards the fields below.
+	mutex  sync.Mutex
+	ledger *quarantine.Ledger
+	// Requests without a complete answer, by incarnation.
+	unanswered quarantine.LostRequests
+	check      crashCheck
+	// The incarnation that crashed last at this node.
+	lastCrashed string
+	// Ids of the crashes of this node's back end.
+	ownCrashes map[string]bool
+	// Time of the last pull by digest.
+	pulledAt map[uint64]time.Time
 }
 
 func (p *plugin) registerMetrics(registry *prometheus.Registry) {
--- a/plugin/quarantine/setup_test.go
+++ b/plugin/quarantine/setup_test.go
@@ -19,7 +19,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// newPlugin returns the plug-in of a node without peers, whose back end has names.
+// newPlugin returns the plug-in of a node without peers.
 func newPlugin() *plugin {
 	process := &kernel.Process{ID: "self", Log: event.Discard()}
 	process.Members.Store(&[]membership.Member{})
@@ -31,44 +31,39 @@
 	}
 }
 
-func callOf(path, instance string) *kernel.Call {
+func newCall(path, instance string) *kernel.Call {
 	return &kernel.Call{Method: http.MethodGet, Host: "shop.example", URL: &url.URL{Path: path}, Instance: instance}
 }
 
-// crashOf is a crash under one request.
-func crashOf(id string, call *kernel.Call) quarantine.Crash {
+// newCrash returns a crash with one request in flight.
+func newCrash(id string, call *kernel.Call) quarantine.Crash {
 	return quarantine.Crash{ID: id, Suspects: []quarantine.Signature{call.Signature()}}
 }
 
-// TestWhoLostABackEndWritesToTheStore
-//
-// Symptom: after all processes had been killed, a request that had been in quarantine
-// took back ends again.
-//
-// Sequence: two back ends crash at the same moment, as the second and third of the request.
-// Each of their nodes knows of two, and learns of the third from the other.
-//
-// Cause: only a node whose own report completed the number wrote to the store, and here
-// that was none.
-func TestWhoLostABackEndWritesToTheStore(t *testing.T) {
+// TestQuarantineStoredAfterReportedCrash guards against a quarantined request that is missing
+// in the store. If two back ends crash at once, as the second and third of a request, each
+// node gets the crash that completes the quarantine from the other one and must still store it.
+func TestQuarantineStoredAfterReportedCrash(t *testing.T) {
 	is := is.New(t)
-	p, call := newPlugin(), callOf("/x", "mine")
-	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("first", call)}, "peer")
-	is.Equal(p.recordLoss(call, result.New(result.ConnectionLost, "broken")).(*result.Error).Code, result.ConnectionLost)
-	p.crashed("mine", "replaced")
-	is.Equal(len(p.saveDue), 0) // two are known
-	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("theirs", call)}, "peer")
+	p, call := newPlugin(), newCall("/x", "mine")
+	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("first", call)}, "peer")
+	is.Equal(p.recordFailure(call, result.New(result.ConnectionLost, "broken")).(*result.Error).Code, result.ConnectionLost)
+	p.recordCrash("mine", "replaced")
+	is.Equal(len(p.saveDue), 0) // Only two crashes are known.
+	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("theirs", call)}, "peer")
 	is.Equal(len(p.saveDue), 1)
 
-	// One that has lost none to it leaves that to others.
+	// A node whose back end did not crash under the request writes nothing.
 	bystander := newPlugin()
-	bystander.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", call), crashOf("b", call), crashOf("c", call)}, "peer")
+	bystander.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", call), newCrash("b", call), newCrash("c", call)}, "peer")
 	is.Equal(len(bystander.saveDue), 0)
 }
 
-func TestWhatBecomesOfAttempts(t *testing.T) {
+// TestMiddleware guards the results of attempts before and after a request is quarantined,
+// and the clearing of a suspicion by a complete answer.
+func TestMiddleware(t *testing.T) {
 	is := is.New(t)
-	p, call := newPlugin(), callOf("/x", "mine")
+	p, call := newPlugin(), newCall("/x", "mine")
 	calls := 0
 	var failure error
 	handler := p.middleware(kernel.HandlerFunc(func(*kernel.Call) (*kernel.Answer, error) {
@@ -83,16 +78,16 @@
 		return result.From(err).Code
 	}
 
-	// The attempt that loses the third back end is told apart, so that it is not repeated.
+	// The attempt that may have caused the third crash gets a result that is not retried.
 	failure = result.New(result.ConnectionLost, "broken")
-	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", call)}, "peer")
 	is.Equal(codeOf(call), result.ConnectionLost)
-	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("b", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("b", call)}, "peer")
 	is.Equal(codeOf(call), result.CrashSuspected)
 	is.True(!result.From(failure).NotRun())
 
-	// Then it is refused, and has not run.
-	p.crashed("mine", "refuses-connections")
+	// After the third crash the request is refused without being run.
+	p.recordCrash("mine", "refuses-connections")
 	before := calls
 	_, err := handler.Handle(call)
 	is.Equal(result.From(err).Code, result.RequestQuarantined)
@@ -100,76 +95,78 @@
 	is.True(result.From(err).RetryAfter > 0)
 	is.Equal(calls, before)
 
-	// Another request is served, and a whole answer clears it of what it was suspected of.
+	// Another request is admitted, and its complete answer clears the suspicion against it.
 	failure = nil
-	other := callOf("/y", "mine")
-	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", other), crashOf("b", other)}, "peer")
+	other := newCall("/y", "mine")
+	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", other), newCrash("b", other)}, "peer")
 	answer, err := handler.Handle(other)
 	is.NoErr(err)
-	is.Equal(len(p.ledger.SuspectedOf(other.Signature())), 2) // the answer is on its way
+	is.Equal(len(p.ledger.SuspectedOf(other.Signature())), 2) // The answer has not been read yet.
 	_, err = io.ReadAll(answer.Body)
 	is.NoErr(err)
 	is.Equal(len(p.ledger.SuspectedOf(other.Signature())), 0)
 }
 
-// broken is a body that ends too early.
-type broken struct{}
+// brokenBody is a body whose connection breaks.
+type brokenBody struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errors.New("reset") }
-func (broken) Close() error             { return nil }
+func (brokenBody) Read([]byte) (int, error) { return 0, errors.New("reset") }
+func (brokenBody) Close() error             { return nil }
 
-func TestABrokenAnswerIsALoss(t *testing.T) {
+// TestBrokenAnswerStartsCrashCheck guards against a crash in the middle of an answer that
+// goes undetected.
+func TestBrokenAnswerStartsCrashCheck(t *testing.T) {
 	is := is.New(t)
-	p, call := newPlugin(), callOf("/x", "mine")
+	p, call := newPlugin(), newCall("/x", "mine")
 	call.Context = t.Context()
 	handler := p.middleware(kernel.HandlerFunc(func(*kernel.Call) (*kernel.Answer, error) {
-		return &kernel.Answer{Response: &http.Response{StatusCode: http.StatusOK, Body: broken{}}}, nil
+		return &kernel.Answer{Response: &http.Response{StatusCode: http.StatusOK, Body: brokenBody{}}}, nil
 	}))
 	answer, err := handler.Handle(call)
 	is.NoErr(err)
 	_, _ = io.ReadAll(answer.Body)
 	_ = answer.Body.Close()
 	is.Equal(len(p.checkDue), 1)
-	is.Equal(p.lost.Suspects("mine"), []quarantine.Signature{call.Signature()})
+	is.Equal(p.unanswered.Suspects("mine"), []quarantine.Signature{call.Signature()})
 }
 
-// leavingBackEnd is a back end that has said that it leaves.
+// leavingBackEnd is a back end that has announced that it leaves.
 type leavingBackEnd struct{ kernel.BackEnd }
 
 func (leavingBackEnd) State() instance.State { return instance.State{ID: "mine", Leaving: true} }
 
-// TestAPlannedEndIsNoCrash: a back end loses a request to a broken connection, says that it
-// leaves, and is replaced.
-func TestAPlannedEndIsNoCrash(t *testing.T) {
+// TestGracefulStopIsNoCrash guards against counting a back end as crashed that breaks a
+// connection, announces that it leaves, and is replaced.
+func TestGracefulStopIsNoCrash(t *testing.T) {
 	is := is.New(t)
-	p, call := newPlugin(), callOf("/x", "mine")
-	_ = p.recordLoss(call, result.New(result.ConnectionLost, "broken"))
+	p, call := newPlugin(), newCall("/x", "mine")
+	_ = p.recordFailure(call, result.New(result.ConnectionLost, "broken"))
 	p.process.BackEnd = leavingBackEnd{}
 	is.True(!p.stepCheck(t.Context(), clock.Now().Time()))
-	is.Equal(p.check, crashCheck{}) // the incarnation that comes after it says nothing
+	is.Equal(p.check, crashCheck{}) // The next incarnation must not count as evidence of a crash.
 	is.Equal(p.crashCount.Load(), int64(0))
 }
 
-// TestWhatWasClearedIsToldOn: a process that knows of cleared requests alone shows it, so
-// that one that still holds them for suspects learns of it.
-func TestWhatWasClearedIsToldOn(t *testing.T) {
+// TestDigestIncludesClearedRequests guards against a digest without cleared requests: a
+// process that still suspects them would not fetch the clearing.
+func TestDigestIncludesClearedRequests(t *testing.T) {
 	is := is.New(t)
-	p, call := newPlugin(), callOf("/x", "mine")
-	p.learn(clock.Now().Time(), []quarantine.Crash{crashOf("a", call)}, "peer")
+	p, call := newPlugin(), newCall("/x", "mine")
+	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", call)}, "peer")
 	before := p.Digest()
-	p.answered(call.Signature())
+	p.clearSuspicion(call.Signature())
 	is.True(!p.hasSuspects.Load())
 	is.True(p.Digest() != 0)
 	is.True(p.Digest() != before)
 }
 
-// TestRefusalsLeaveNoSuspicion: what certainly did not run there, and answers to other
-// requests, say nothing of this one.
-func TestRefusalsLeaveNoSuspicion(t *testing.T) {
+// TestRefusalsCauseNoSuspicion guards against suspecting a request that certainly did not run,
+// or one that got the answer to another request.
+func TestRefusalsCauseNoSuspicion(t *testing.T) {
 	is := is.New(t)
-	p, call := newPlugin(), callOf("/x", "mine")
+	p, call := newPlugin(), newCall("/x", "mine")
 	for _, code := range []result.Code{result.BackendRefused, result.BackendUnreachable, result.BackendLeft, result.CallerGone, result.AnswerMismatch} {
-		is.Equal(result.From(p.recordLoss(call, result.New(code, "no"))).Code, code)
+		is.Equal(result.From(p.recordFailure(call, result.New(code, "no"))).Code, code)
 	}
-	is.Equal(len(p.lost.Suspects("mine")), 0)
+	is.Equal(len(p.unanswered.Suspects("mine")), 0)
 }
--- a/plugin/quarantine/stored.go
+++ b/plugin/quarantine/stored.go
@@ -15,45 +15,47 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// storeKey is the key under which the requests in quarantine lie in the store, as a
-// wire.Crashes, for the case that all processes are started anew.
+// storeKey is the store key of the requests in quarantine, a wire.Crashes in JSON. It
+// preserves them across a restart of all processes.
 const storeKey = "quarantine"
 
-// Bounds of the use of the store.
+// Bounds of store access.
 const (
-	// storeTimeout bounds one read, or one read with the write that follows it.
+	// storeTimeout bounds one read, or one read and the write that follows it.
 	storeTimeout = 2 * time.Second
-	// storePause is the time between two attempts to reach the store.
-	storePause = time.Second
-	// discoveryTime is waited for after the start until peers are known: they tell what
-	// they know, and only a few processes go to the store.
+	// storeRetryInterval is the time between two attempts to reach the store.
+	storeRetryInterval = time.Second
+	// discoveryTime is the delay after the start until peers are known. Their gossip brings
+	// the known crashes, so that only a few processes must read the store.
 	discoveryTime = time.Second
 )
 
-// keepStored reads what lies in the store, and writes there when a request came into
-// quarantine that this node has lost a back end to, so that a restart of all processes does
-// not cost the service three more back ends. Each such request costs the store a few calls.
-func (p *plugin) keepStored(ctx context.Context) {
+// syncStore reads the requests in quarantine from the store at the start, and writes them
+// when a request that crashed this node's back end has been quarantined. It runs until ctx is
+// done. Without the stored entry, a restart of all processes would let the request crash
+// several more back ends.
+func (p *plugin) syncStore(ctx context.Context) {
 	kernel.Pause(ctx, discoveryTime)
 	alive := kernel.LiveIDs(*p.process.Members.Load())
 	if spread.Watches(p.process.ID, alive, p.process.Settings.StoreWatches) {
-		p.persist(ctx, p.load)
+		p.retryUntilDone(ctx, p.load)
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.saveDue:
-			p.persist(ctx, p.write)
+			p.retryUntilDone(ctx, p.write)
 		}
 	}
 }
 
-// save has what is in quarantine written to the store.
-func (p *plugin) save() { kernel.Wake(p.saveDue) }
+// requestSave wakes syncStore to write the requests in quarantine to the store.
+func (p *plugin) requestSave() { kernel.Wake(p.saveDue) }
 
-// persist repeats a step until it is done. The first error is logged.
-func (p *plugin) persist(ctx context.Context, step func(context.Context) (bool, error)) {
+// retryUntilDone repeats a step every storeRetryInterval until the step or ctx is done. Only
+// the first error is logged.
+func (p *plugin) retryUntilDone(ctx context.Context, step func(context.Context) (bool, error)) {
 	for failed := false; ctx.Err() == nil; {
 		limited, cancel := context.WithTimeout(ctx, storeTimeout)
 		done, err := step(limited)
@@ -65,17 +67,17 @@
 			failed = true
 			p.process.Log.Emit(event.QuarantineNotStored, "error", err)
 		}
-		kernel.Pause(ctx, storePause)
+		kernel.Pause(ctx, storeRetryInterval)
 	}
 }
 
-// load learns what lies in the store.
+// load merges the stored crashes into the ledger, as a step for retryUntilDone.
 func (p *plugin) load(ctx context.Context) (bool, error) {
 	_, err := p.read(ctx)
 	return err == nil, err
 }
 
-// read learns what lies in the store and returns it.
+// read merges the stored crashes into the ledger and returns the store entry.
 func (p *plugin) read(ctx context.Context) (store.Entry, error) {
 	entry, err := p.process.Store.Get(ctx, storeKey)
 	if err != nil || !entry.Exists {
@@ -84,13 +86,14 @@
 	var stored wire.Crashes
 	if err := json.Unmarshal(entry.Value, &stored); err != nil {
 		p.process.Log.Emit(event.QuarantineNotStored, "error", err)
-		return entry, nil // what can't be read is overwritten by the next write
+		return entry, nil // The next write replaces a malformed value.
 	}
-	p.learn(clock.Now().Time(), stored.Crashes, "store")
+	p.mergeReports(clock.Now().Time(), stored.Crashes, "store")
 	return entry, nil
 }
 
-// write puts the requests in quarantine into the store, with those that lie there.
+// write writes the requests in quarantine to the store, merged with the stored ones. It
+// returns false if another process changed the entry meanwhile.
 func (p *plugin) write(ctx context.Context) (bool, error) {
 	entry, err := p.read(ctx)
 	if err != nil {
@@ -104,13 +107,13 @@
 		return false, err
 	}
 	if bytes.Equal(data, entry.Value) {
-		return true, nil // another node was faster
+		return true, nil // Another node has written the same requests.
 	}
 	return p.process.Store.CompareAndSwap(ctx, storeKey, data, entry.Index)
 }
 
-// withoutAges returns crashes as if they had just been: nobody can tell how long they have
-// been in the store. A request in quarantine by them gets its trial as any other.
+// withoutAges sets the ages of crashes to zero in place, since it is unknown how long they
+// will have been in the store when they are read.
 func withoutAges(crashes []quarantine.Crash) []quarantine.Crash {
 	for i := range crashes {
 		crashes[i].Age = 0
