--- a/plugin/configsync/documents.go
+++ b/plugin/configsync/documents.go
@@ -14,27 +14,34 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// document is one document that is spread. The keeper is owned by the control
-// loop.
+// document is one of the documents that processes distribute among each other.
 type document struct {
-	name        wire.DocumentName
-	key         string                       // in the store
-	revisionOf  func([]byte) (uint64, error) // checks a document and returns its revision
-	keeper      spread.Keeper
+	name wire.DocumentName
+	// Key in the store.
+	key string
+	// Checks an encoded document and returns its revision.
+	revisionOf func([]byte) (uint64, error)
+	// The document in force, owned by the control loop.
+	current spread.Keeper
+	// Called on the control loop with each new revision.
 	subscribers []func(time.Time, []byte)
-	revision    atomic.Uint64 // of the keeper, for other goroutines
-	pulling     atomic.Bool   // it is being fetched from a peer
+	// Revision of current, for other goroutines.
+	revision atomic.Uint64
+	// Whether the document is being fetched from a peer.
+	pulling atomic.Bool
 }
 
-// synchronizer keeps the documents of one process.
+// synchronizer keeps the documents of one process up to date.
 type synchronizer struct {
 	process   *kernel.Process
 	documents map[wire.DocumentName]*document
-	confirmed atomic.Bool // the policy is as new as the store's or a peer's
+	// Whether the policy was once confirmed to be as new as that of the store or a peer.
+	confirmed atomic.Bool
 
-	mutex     sync.Mutex       // guards what follows
-	freshness spread.Freshness // of the policy
-	proof     spread.Proof     // of the policy
+	// Guards the fields below, which concern the policy document.
+	mutex     sync.Mutex
+	freshness spread.Freshness
+	proof     spread.Proof
 }
 
 // Revisions implements kernel.Documents.
@@ -44,9 +51,10 @@
 		revisions.Age = max(age.Milliseconds(), 1)
 	}
 	if age, known := s.PolicyProof(clock.Now().Time()); known {
-		revisions.ProvenAge = age.Milliseconds() + 1 // rounded up, so that it stays a bound
+		revisions.ProvenAge = age.Milliseconds() + 1 // Rounded up: it must not be less than the age.
 	}
-	// After the proof: one of a newer policy would be taken for one of this policy.
+	// Read after the proof: otherwise the proof of a newer policy could be sent with the
+	// revision of an older one.
 	revisions.Policy = s.documents[wire.DocumentPolicy].revision.Load()
 	if groups, exists := s.documents[wire.DocumentGroups]; exists {
 		revisions.Groups = groups.revision.Load()
@@ -65,19 +73,20 @@
 	return s.offer(ctx, s.documents[name], data, "process")
 }
 
-// adoptPolicy puts a policy tree in force. It runs on the control loop.
+// adoptPolicy puts a policy document in force. It runs on the control loop.
 func (s *synchronizer) adoptPolicy(_ time.Time, data []byte) {
 	document, err := policy.Decode(data)
-	if err != nil { // can't be: offer has decoded it
+	if err != nil { // Unreachable: offer has checked the document.
 		s.process.Log.Emit(event.DocumentRejected, "document", string(wire.DocumentPolicy), "from", "process", "error", err)
 		return
 	}
 	s.process.Policy.Store(policy.NewIndex(document))
 }
 
-// offer takes a document if it is newer, and tells peers. It returns the error of a document
-// that fails its check, and a result.NotReady or result.Draining error when the control loop
-// does not take it.
+// offer puts a document in force if it is newer than the current one, and announces it to
+// peers. from is the source of the document, for the log. It returns the error of a document
+// that fails its check, and a result.NotReady or result.Draining error if the control loop
+// does not run.
 func (s *synchronizer) offer(ctx context.Context, d *document, data []byte, from string) error {
 	revision, err := d.revisionOf(data)
 	if err != nil {
@@ -85,11 +94,11 @@
 		return err
 	}
 	return s.process.Loop.Do(ctx, func(now time.Time) {
-		if revision < d.keeper.Revision() {
+		if revision < d.current.Revision() {
 			s.process.Log.Emit(event.DocumentOlderSeen, "document", string(d.name), "from", from,
-				"revision", revision, "in_force", d.keeper.Revision())
+				"revision", revision, "in_force", d.current.Revision())
 		}
-		if !d.keeper.Offer(revision, data) {
+		if !d.current.Offer(revision, data) {
 			return
 		}
 		for _, adopt := range d.subscribers {
--- a/plugin/configsync/freshness.go
+++ b/plugin/configsync/freshness.go
@@ -7,9 +7,10 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// verified records that the store showed a document as the newest one at a time, and as
-// proof another time, which is earlier where the store may lag. Only the policy's count.
-func (s *synchronizer) verified(d *document, at, proven time.Time) {
+// recordRead records that the store returned a document as the newest one. at is the time for
+// the freshness estimate; proven is the time for the proof, earlier than at where the store
+// may lag. It ignores documents other than the policy.
+func (s *synchronizer) recordRead(d *document, at, proven time.Time) {
 	if d.name != wire.DocumentPolicy {
 		return
 	}
@@ -19,8 +20,9 @@
 	s.proof.Record(proven)
 }
 
-// vouched takes a peer's estimate for its policy, when this process has the same one.
-func (s *synchronizer) vouched(revisions wire.Revisions) {
+// recordConfirmation records a peer's estimate of the age of its policy if this process has
+// the same revision.
+func (s *synchronizer) recordConfirmation(revisions wire.Revisions) {
 	if revisions.Age == 0 || revisions.Policy != s.documents[wire.DocumentPolicy].revision.Load() {
 		return
 	}
@@ -29,17 +31,18 @@
 	s.freshness.Vouched(clock.Now().Time(), time.Duration(revisions.Age)*time.Millisecond)
 }
 
-// age returns how long ago the policy was known to be the newest one, by estimate.
+// age returns the estimated time since the policy was known to be the newest one, and false
+// if it never was.
 func (s *synchronizer) age() (time.Duration, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.freshness.Age(clock.Now().Time())
 }
 
-// mustLook reports whether this process, in a mesh of the given size, must read the store
-// although it is not one of those that watch it.
-func (s *synchronizer) mustLook(size int) bool {
-	if s.proofIsOld(storeProofShare) {
+// mustReadStore reports whether this process must read the store although it is not one of those
+// that watch it. size is the number of live processes in the mesh.
+func (s *synchronizer) mustReadStore(size int) bool {
+	if s.proofOlderThan(storeProofShare) {
 		return true
 	}
 	s.mutex.Lock()
--- a/plugin/configsync/peers.go
+++ b/plugin/configsync/peers.go
@@ -13,15 +13,16 @@
 // pullTimeout bounds the transfer of one document from a peer.
 const pullTimeout = 2 * time.Second
 
-// Heard implements kernel.Documents: it fetches what the peer has newer.
-func (s *synchronizer) Heard(peer string, revisions wire.Revisions, asked time.Time) {
+// Heard implements kernel.Documents. It fetches the documents of which the peer has a newer
+// revision.
+func (s *synchronizer) Heard(peer string, revisions wire.Revisions, requestedAt time.Time) {
 	for _, d := range s.documents {
 		if revisions.Of(d.name) > d.revision.Load() && d.pulling.CompareAndSwap(false, true) {
 			go s.pull(peer, d)
 		}
 	}
-	s.vouched(revisions)
-	s.provenByPeer(revisions, asked)
+	s.recordConfirmation(revisions)
+	s.recordPeerProof(revisions, requestedAt)
 	policyKnown := s.documents[wire.DocumentPolicy].revision.Load()
 	if revisions.Confirmed && revisions.Policy <= policyKnown {
 		s.confirmed.Store(true)
@@ -36,7 +37,7 @@
 	var fetched wire.Document
 	path := wire.PathDocument + string(d.name)
 	if err := s.process.Control.Invoke(ctx, peer, http.MethodGet, path, nil, &fetched); err != nil {
-		return // the next message of any peer tries again
+		return // The next message from any peer with a newer revision causes another pull.
 	}
 	if s.offer(ctx, d, fetched.Data, peer) != nil {
 		return
@@ -46,12 +47,12 @@
 	}
 }
 
-// serveRevisions tells a peer which revisions are in force here.
+// serveRevisions returns the revisions that are in force in this process.
 func (s *synchronizer) serveRevisions(w http.ResponseWriter, _ *http.Request) {
 	kernel.WriteJSON(w, s.Revisions())
 }
 
-// serveDocument gives a peer the document that is in force here.
+// serveDocument returns a document that is in force in this process.
 func (s *synchronizer) serveDocument(w http.ResponseWriter, r *http.Request) {
 	d, exists := s.documents[wire.DocumentName(r.PathValue("name"))]
 	if !exists {
@@ -60,7 +61,7 @@
 	}
 	confirmed := s.confirmed.Load()
 	answer, err := kernel.Ask(r.Context(), s.process.Loop, func(time.Time) wire.Document {
-		return wire.Document{Revision: d.keeper.Revision(), Data: d.keeper.Data(), Confirmed: confirmed}
+		return wire.Document{Revision: d.current.Revision(), Data: d.current.Data(), Confirmed: confirmed}
 	})
 	if err != nil {
 		result.From(err).WriteHTTP(w)
--- a/plugin/configsync/proof.go
+++ b/plugin/configsync/proof.go
@@ -12,15 +12,16 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// provenByPeer takes the proof of a peer that this process asked for. A policy that is
-// newer than the peer's was written later, so that the proof holds for it as well.
-func (s *synchronizer) provenByPeer(revisions wire.Revisions, asked time.Time) {
-	if asked.IsZero() || revisions.ProvenAge == 0 || revisions.Policy > s.documents[wire.DocumentPolicy].revision.Load() {
+// recordPeerProof records the proof in a peer's reply. requestedAt is when this process sent the
+// request, zero for an unsolicited message, which proves nothing. If the policy of this
+// process is newer than the peer's, it was written later, so that the proof holds for it too.
+func (s *synchronizer) recordPeerProof(revisions wire.Revisions, requestedAt time.Time) {
+	if requestedAt.IsZero() || revisions.ProvenAge == 0 || revisions.Policy > s.documents[wire.DocumentPolicy].revision.Load() {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.proof.Record(asked.Add(-time.Duration(revisions.ProvenAge) * time.Millisecond))
+	s.proof.Record(requestedAt.Add(-time.Duration(revisions.ProvenAge) * time.Millisecond))
 }
 
 // PolicyProof implements kernel.Documents.
@@ -30,24 +31,26 @@
 	return s.proof.Age(now)
 }
 
-// Where keys must stop working soon after they were revoked, a process renews the proof of
-// its policy before the revocation time is over: first from the processes that watch the
-// store, which costs the store nothing, then from the store. The rest of the time is for
-// attempts that fail.
+// If the settings limit the time until a revoked key stops working, a process renews the
+// proof of its policy before that revocation time has passed: first from the processes that
+// watch the store, which puts no load on the store, then from the store itself. The remaining
+// time allows for failed attempts.
 const (
-	// peerProofShare is the age, as a share of the revocation time, at which it asks peers.
+	// peerProofShare is the age of the proof, as a share of the revocation time, above which
+	// peers are requestedAt.
 	peerProofShare = 0.6
-	// storeProofShare is the age, as such a share, at which it reads the store.
+	// storeProofShare is the age of the proof, as a share of the revocation time, above which
+	// the store is read.
 	storeProofShare = 0.75
-	// proofTick is the time between two checks of the age.
-	proofTick = 250 * time.Millisecond
-	// proofTimeout bounds the question to one peer.
+	// proofCheckInterval is the time between two checks of the age.
+	proofCheckInterval = 250 * time.Millisecond
+	// proofTimeout bounds the request to one peer.
 	proofTimeout = 300 * time.Millisecond
 )
 
-// proofIsOld reports whether the proof of the policy is older than a share of the time
-// after which keys must not be trusted by it.
-func (s *synchronizer) proofIsOld(share float64) bool {
+// proofOlderThan reports whether the proof of the policy is missing or older than the given share
+// of the revocation time. It is false if keys aren't required or no revocation time is set.
+func (s *synchronizer) proofOlderThan(share float64) bool {
 	revocation := s.process.Settings.KeyRevocation.Std()
 	if revocation == 0 || !s.process.Policy.Load().Tenants().Required() {
 		return false
@@ -56,32 +59,33 @@
 	return !known || age > time.Duration(share*float64(revocation))
 }
 
-// seekProof asks processes that watch the store for their proof, one after the other,
-// while that of this process is old.
-func (s *synchronizer) seekProof(ctx context.Context) {
-	for turn := 0; ctx.Err() == nil; {
-		kernel.Pause(ctx, proofTick)
-		if !s.proofIsOld(peerProofShare) {
+// renewProof requests the proof from the processes that watch the store, one after the other,
+// while that of this process is too old. It runs until ctx is done.
+func (s *synchronizer) renewProof(ctx context.Context) {
+	for next := 0; ctx.Err() == nil; {
+		kernel.Pause(ctx, proofCheckInterval)
+		if !s.proofOlderThan(peerProofShare) {
 			continue
 		}
 		watchers := s.otherWatchers()
 		if len(watchers) == 0 {
 			continue
 		}
-		s.askForProof(ctx, watchers[turn%len(watchers)])
-		turn++
+		s.requestProof(ctx, watchers[next%len(watchers)])
+		next++
 	}
 }
 
-func (s *synchronizer) askForProof(ctx context.Context, address string) {
+// requestProof requests the proof of one peer.
+func (s *synchronizer) requestProof(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, proofTimeout)
 	defer cancel()
 	var revisions wire.Revisions
-	asked := clock.Now().Time()
+	requestedAt := clock.Now().Time()
 	if err := s.process.Control.Invoke(ctx, address, http.MethodGet, wire.PathRevisions, nil, &revisions); err != nil {
-		return // another one is asked next; what follows from an old proof is logged with each refusal
+		return // The next peer is asked. Refusals because of an old proof are logged.
 	}
-	s.Heard(address, revisions, asked)
+	s.Heard(address, revisions, requestedAt)
 }
 
 // otherWatchers returns the control addresses of the other processes that watch the
--- a/plugin/configsync/proof_test.go
+++ b/plugin/configsync/proof_test.go
@@ -10,11 +10,11 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// TestAProofIsNotToldWithAnOlderPolicy: when a newer policy is proven while the revisions
-// are put together, a peer must not take that proof for the older one.
-func TestAProofIsNotToldWithAnOlderPolicy(t *testing.T) {
+// TestProofNotSentWithOlderPolicy guards against sending the proof of a newer policy, recorded
+// while the revisions are collected, with the revision of the older one.
+func TestProofNotSentWithOlderPolicy(t *testing.T) {
 	is := is.New(t)
-	process := newProcess(t, gatewaySettings(), &silentStore{})
+	process := newProcess(t, gatewaySettings(), &hangingStore{})
 	s, ok := process.Documents.(*synchronizer)
 	is.True(ok)
 	policy := s.documents[wire.DocumentPolicy]
@@ -22,23 +22,23 @@
 	s.proof.Record(time.Now().Add(-time.Hour))
 
 	s.mutex.Lock()
-	told := make(chan wire.Revisions)
-	go func() { told <- s.Revisions() }()
-	time.Sleep(50 * time.Millisecond) // it waits for the proof by now
+	received := make(chan wire.Revisions)
+	go func() { received <- s.Revisions() }()
+	time.Sleep(50 * time.Millisecond) // Revisions is waiting for the mutex by now.
 	policy.revision.Store(6)
 	s.proof.Record(time.Now())
 	s.mutex.Unlock()
 
-	got := <-told
+	got := <-received
 	isNew := got.ProvenAge < time.Minute.Milliseconds()
 	is.True(!isNew || got.Policy == 6)
 }
 
-// TestWhatIsToldUnaskedProvesNothing: a peer's message may have been on its way for long, so
-// that only what this process asked for counts, from when it asked.
-func TestWhatIsToldUnaskedProvesNothing(t *testing.T) {
+// TestUnsolicitedRevisionsProveNothing guards against a proof from a message that was delayed:
+// only replies count, from the time of the request.
+func TestUnsolicitedRevisionsProveNothing(t *testing.T) {
 	is := is.New(t)
-	process := newProcess(t, gatewaySettings(), &silentStore{})
+	process := newProcess(t, gatewaySettings(), &hangingStore{})
 	revisions := wire.Revisions{Age: 5, ProvenAge: 2000}
 	now := clock.Now().Time()
 	process.Documents.Heard("peer", revisions, time.Time{})
--- a/plugin/configsync/setup.go
+++ b/plugin/configsync/setup.go
@@ -1,11 +1,11 @@
-// Package configsync keeps the policy tree and, with claims, the claim groups of a process
-// up to date: from the store when this process is one of the few that watch it, and
-// otherwise from peers. It also keeps the proof of how new the policy is, by which keys are
-// trusted.
+// Package configsync keeps the policy document and, with the setting claims, the claim groups
+// document of a process up to date. A few processes watch the store; all others fetch new
+// revisions from peers. The plug-in also maintains the proof of how recent the policy is,
+// which decides whether keys may be trusted.
 //
-// It owns the documents that are in force in this process and the process's readiness as far
-// as it depends on them. The rules are those of package spread; it relies on the store, on
-// the list of members, and on gossip and quota reports to carry revisions between peers.
+// It owns the documents in force in this process, and makes the process ready once the policy
+// is confirmed. Package spread holds the rules. The plug-in relies on the store, on the list
+// of members, and on gossip and quota reports to carry revisions between peers.
 package configsync
 
 import (
@@ -43,7 +43,7 @@
 			process.OnStart(func(ctx context.Context) { s.watch(ctx, d) })
 		}
 		if process.Settings.KeyRevocation > 0 {
-			process.OnStart(s.seekProof)
+			process.OnStart(s.renewProof)
 		}
 	}
 	process.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
--- a/plugin/configsync/watch.go
+++ b/plugin/configsync/watch.go
@@ -16,86 +16,91 @@
 
 // Times of watching the store.
 const (
-	// watchWait is how long the store is asked to wait for a change. A wait may never be
-	// answered, so that a longer one delays the next change.
+	// watchWait is how long the store is asked to wait for a change. It is short because a wait
+	// that is never answered delays the next change by this time.
 	watchWait = 700 * time.Millisecond
-	// answerTime is how long the answer may take beyond watchWait.
-	answerTime = 500 * time.Millisecond
-	// idleWait is the time between two checks whether it is this process's turn.
-	idleWait = 200 * time.Millisecond
-	// gatherTime is waited for after a change, so that several in quick succession are read
-	// at once.
-	gatherTime = 100 * time.Millisecond
-	// maximumWatchLag is how long the store may hold a change back from those that wait for
-	// it. What a wait proves counts from that much earlier.
+	// answerMargin is how long the answer to a wait may take beyond watchWait.
+	answerMargin = 500 * time.Millisecond
+	// idleInterval is the time between two checks whether this process must watch the store.
+	idleInterval = 200 * time.Millisecond
+	// coalesceDelay is the pause after a change, so that several changes in quick succession are
+	// read together.
+	coalesceDelay = 100 * time.Millisecond
+	// maximumWatchLag is the maximum time by which the answer to a wait may lag behind a
+	// change. The proof from a wait counts from that much earlier.
 	maximumWatchLag = time.Second
 	// firstBackoff and maximumBackoff bound the time between two attempts while the store
-	// fails; it doubles with each failure.
+	// fails. It doubles with each failure.
 	firstBackoff   = 100 * time.Millisecond
 	maximumBackoff = time.Second
 )
 
-// watcher follows one document in the store.
+// watcher watches one document in the store.
 type watcher struct {
 	synchronizer *synchronizer
 	document     *document
-	position     uint64 // to wait from, 0: read at once
-	taken        uint64 // index of the entry that was offered last
-	failures     int    // in a row
-	active       bool
+	// Position in the store from which to wait for the next change; 0 reads at once.
+	position uint64
+	// Index of the entry that was offered last.
+	offeredIndex uint64
+	// Consecutive failures.
+	failures int
+	// Whether this process watches the document now.
+	active bool
 }
 
-// watch follows one document in the store while it is this process's turn: also
-// while there is none yet, since peers vouch for that as well.
+// watch watches one document in the store while this process must, until ctx is done. That
+// includes a document that does not exist yet, since peers also confirm its absence.
 func (s *synchronizer) watch(ctx context.Context, d *document) {
 	w := &watcher{synchronizer: s, document: d}
 	for ctx.Err() == nil {
-		if !w.wanted() {
+		if !w.shouldWatch() {
 			w.position = 0
-			kernel.Pause(ctx, idleWait)
+			kernel.Pause(ctx, idleInterval)
 			continue
 		}
 		before := d.revision.Load()
-		if err := w.once(ctx); err != nil {
-			w.failed(ctx, err)
+		if err := w.step(ctx); err != nil {
+			w.recordFailure(ctx, err)
 			kernel.Pause(ctx, backoff(w.failures))
 			continue
 		}
-		w.recovered()
+		w.recordSuccess()
 		if d.revision.Load() != before {
-			kernel.Pause(ctx, gatherTime)
+			kernel.Pause(ctx, coalesceDelay)
 		}
 	}
 }
 
-// wanted reports whether it is this process's turn.
-func (w *watcher) wanted() bool {
+// shouldWatch reports whether this process must watch the store, and logs a change.
+func (w *watcher) shouldWatch() bool {
 	s := w.synchronizer
-	wanted := s.watches()
-	if wanted != w.active {
-		w.active = wanted
-		s.process.Log.Emit(event.StoreWatchChanged, "document", string(w.document.name), "watching", wanted)
+	watching := s.watches()
+	if watching != w.active {
+		w.active = watching
+		s.process.Log.Emit(event.StoreWatchChanged, "document", string(w.document.name), "watching", watching)
 	}
-	return wanted
+	return watching
 }
 
-// settleTime is how long after its start a process knows too few others to tell
-// whether it is one of those that watch the store. All processes of a mesh that
-// starts at once would take themselves for one.
+// settleTime is the time after its start during which a process knows too few members to
+// decide whether it is one of those that watch the store. Without it, all processes of a
+// mesh that starts at once would watch.
 const settleTime = 1500 * time.Millisecond
 
-// watches reports whether this process is one of those that watch the store, or
-// is left alone by them.
+// watches reports whether this process is one of those that watch the store, or must read it
+// because its peers don't confirm the policy.
 func (s *synchronizer) watches() bool {
 	live := kernel.LiveIDs(*s.process.Members.Load())
 	settled := time.Since(s.process.Started) >= settleTime
 	if settled && spread.Watches(s.process.ID, live, s.process.Settings.StoreWatches) {
 		return true
 	}
-	return s.mustLook(len(live))
+	return s.mustReadStore(len(live))
 }
 
-func (w *watcher) failed(ctx context.Context, err error) {
+// recordFailure records a failure. Only the first of several consecutive failures is logged.
+func (w *watcher) recordFailure(ctx context.Context, err error) {
 	w.failures++
 	w.position = 0
 	if w.failures != 1 || ctx.Err() != nil {
@@ -105,7 +110,8 @@
 		"document", string(w.document.name), "revision", w.document.revision.Load(), "error", err)
 }
 
-func (w *watcher) recovered() {
+// recordSuccess resets the failure count and logs a recovery.
+func (w *watcher) recordSuccess() {
 	if w.failures > 0 {
 		w.synchronizer.process.Log.Emit(event.StoreRecovered, "document", string(w.document.name),
 			"revision", w.document.revision.Load())
@@ -113,43 +119,44 @@
 	w.failures = 0
 }
 
-// once reads the document, or waits for its next change, and moves the position.
-func (w *watcher) once(ctx context.Context) error {
+// step reads the document or waits for its next change, offers it to this process, and
+// updates the position.
+func (w *watcher) step(ctx context.Context) error {
 	s, d := w.synchronizer, w.document
-	asked := clock.Now().Time()
-	proven := asked
+	requestedAt := clock.Now().Time()
+	proven := requestedAt
 	if w.position > 0 {
-		proven = asked.Add(-maximumWatchLag)
+		proven = requestedAt.Add(-maximumWatchLag)
 	}
 	entry, err := w.read(ctx)
 	if err != nil {
 		return err
 	}
-	if err := w.take(ctx, entry); err != nil {
+	if err := w.offerEntry(ctx, entry); err != nil {
 		return err
 	}
-	s.verified(d, asked, proven)
+	s.recordRead(d, requestedAt, proven)
 	if d.name == wire.DocumentPolicy && (entry.Exists || !s.process.Settings.PolicyRequired) {
 		s.confirmed.Store(true)
 	}
 	if entry.Watch < w.position {
-		w.position = 0 // the store went back: read it anew
+		w.position = 0 // The store was reset: read it again.
 		return nil
 	}
 	w.position = max(entry.Watch, 1)
 	return nil
 }
 
-// take offers an entry, unless it is the one that was offered last: most waits
-// bring no news, and a document is long.
-func (w *watcher) take(ctx context.Context, entry store.Entry) error {
-	if !entry.Exists || entry.Index == w.taken {
+// offerEntry offers an entry unless it is the one that was offered last. Most waits end without a
+// change, and decoding a document is costly.
+func (w *watcher) offerEntry(ctx context.Context, entry store.Entry) error {
+	if !entry.Exists || entry.Index == w.offeredIndex {
 		return nil
 	}
 	if err := w.synchronizer.offer(ctx, w.document, entry.Value, "store"); err != nil {
 		return err
 	}
-	w.taken = entry.Index
+	w.offeredIndex = entry.Index
 	return nil
 }
 
@@ -159,15 +166,16 @@
 	if w.position == 0 {
 		return s.process.Store.Get(ctx, d.key)
 	}
-	waiting, cancel := context.WithTimeout(ctx, watchWait+answerTime)
+	waiting, cancel := context.WithTimeout(ctx, watchWait+answerMargin)
 	defer cancel()
 	entry, err := s.process.Store.Watch(waiting, d.key, w.position, watchWait)
 	if err != nil && ctx.Err() == nil && waiting.Err() != nil {
-		return s.process.Store.Get(ctx, d.key) // the server that held the wait may be gone
+		return s.process.Store.Get(ctx, d.key) // The server that held the wait may be down.
 	}
 	return entry, err
 }
 
+// backoff returns the randomized pause after the given number of consecutive failures.
 func backoff(failures int) time.Duration {
 	limit := min(firstBackoff<<min(failures, 6), maximumBackoff)
 	return limit/2 + rand.N(limit/2)
--- a/plugin/configsync/watch_test.go
+++ b/plugin/configsync/watch_test.go
@@ -18,20 +18,20 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// silentStore never answers a wait. Reads fail while it is down.
-type silentStore struct {
+// hangingStore is a store that never answers a wait. Reads fail while it is down.
+type hangingStore struct {
 	mutex    sync.Mutex
 	down     bool
 	revision uint64
 }
 
-func (s *silentStore) set(down bool, revision uint64) {
+func (s *hangingStore) set(down bool, revision uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.down, s.revision = down, revision
 }
 
-func (s *silentStore) Get(context.Context, string) (store.Entry, error) {
+func (s *hangingStore) Get(context.Context, string) (store.Entry, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.down {
@@ -42,16 +42,16 @@
 	return store.Entry{Value: data, Index: s.revision, Exists: true, Watch: s.revision}, err
 }
 
-func (s *silentStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Entry, error) {
+func (s *hangingStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Entry, error) {
 	<-ctx.Done()
 	return store.Entry{}, result.Wrap(result.StoreUnavailable, ctx.Err(), "no answer")
 }
 
-func (s *silentStore) CompareAndSwap(context.Context, string, []byte, uint64) (bool, error) {
+func (s *hangingStore) CompareAndSwap(context.Context, string, []byte, uint64) (bool, error) {
 	return false, result.New(result.StoreUnavailable, "read only")
 }
 
-func (s *silentStore) AcquireLease(context.Context, string, string, time.Duration) (store.Lease, bool, error) {
+func (s *hangingStore) AcquireLease(context.Context, string, string, time.Duration) (store.Lease, bool, error) {
 	return nil, false, result.New(result.StoreUnavailable, "read only")
 }
 
@@ -72,12 +72,12 @@
 	return process
 }
 
-// TestAnEntryIsReadOnce: a document that the store shows again and again is decoded
-// once.
-func TestAnEntryIsReadOnce(t *testing.T) {
+// TestUnchangedEntryDecodedOnce guards against decoding a document again although the store
+// returned the same entry.
+func TestUnchangedEntryDecodedOnce(t *testing.T) {
 	is := is.New(t)
-	steady := &silentStore{revision: 5}
-	process := newProcess(t, gatewaySettings(), steady)
+	stub := &hangingStore{revision: 5}
+	process := newProcess(t, gatewaySettings(), stub)
 	go func() { _ = process.Start(t.Context()) }()
 	synchronizer, ok := process.Documents.(*synchronizer)
 	is.True(ok)
@@ -90,38 +90,38 @@
 		},
 	}}
 	for range 5 {
-		w.position = 0 // read at once
-		is.NoErr(w.once(t.Context()))
+		w.position = 0 // Read at once.
+		is.NoErr(w.step(t.Context()))
 	}
 	is.Equal(decoded, 1)
-	steady.set(false, 6)
+	stub.set(false, 6)
 	w.position = 0
-	is.NoErr(w.once(t.Context()))
+	is.NoErr(w.step(t.Context()))
 	is.Equal(decoded, 2)
 }
 
-// TestAbsenceIsVouchedFor: while no policy has been written yet, a process to which
-// peers say so leaves the store to those whose turn it is.
-func TestAbsenceIsVouchedFor(t *testing.T) {
+// TestPeerConfirmsAbsence guards against a process that reads the store although a peer has
+// confirmed that no policy exists yet.
+func TestPeerConfirmsAbsence(t *testing.T) {
 	is := is.New(t)
 	s := gatewaySettings()
 	s.PolicyRequired, s.StoreWatches = true, 0
-	process := newProcess(t, s, &silentStore{})
+	process := newProcess(t, s, &hangingStore{})
 	synchronizer, ok := process.Documents.(*synchronizer)
 	is.True(ok)
 	w := &watcher{synchronizer: synchronizer, document: synchronizer.documents[wire.DocumentPolicy]}
-	is.True(w.wanted()) // nobody has said anything yet
+	is.True(w.shouldWatch()) // No peer has confirmed the policy yet.
 	synchronizer.Heard("peer", wire.Revisions{Age: 5}, time.Time{})
-	is.True(!w.wanted())
+	is.True(!w.shouldWatch())
 	synchronizer.Heard("peer", wire.Revisions{Age: 5, Policy: 7}, time.Time{})
-	is.True(!process.Ready()) // not before it has that policy
+	is.True(!process.Ready()) // Revision 7 has not been fetched.
 }
 
-// TestWaitsThatAreNeverAnswered: a change is found although no wait is ever
-// answered, also after the store was away.
-func TestWaitsThatAreNeverAnswered(t *testing.T) {
-	down := &silentStore{revision: 5}
-	process := newProcess(t, gatewaySettings(), down)
+// TestUnansweredWaits guards against missing a change because the store never answers waits,
+// also after the store was down.
+func TestUnansweredWaits(t *testing.T) {
+	stub := &hangingStore{revision: 5}
+	process := newProcess(t, gatewaySettings(), stub)
 	go func() { _ = process.Start(t.Context()) }()
 
 	await := func(revision uint64) {
@@ -134,10 +134,10 @@
 		}
 	}
 	await(5)
-	down.set(false, 6)
+	stub.set(false, 6)
 	await(6)
-	down.set(true, 7)
+	stub.set(true, 7)
 	time.Sleep(watchWait)
-	down.set(false, 8)
+	stub.set(false, 8)
 	await(8)
 }
