--- a/plugin/membership/gossip.go
+++ b/plugin/membership/gossip.go
@@ -11,48 +11,52 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// tick runs on the control loop.
+// tick advances the state machine. It runs on the control loop.
 func (m *mesh) tick(now time.Time) {
-	m.deliver(m.machine.Tick(now))
+	m.sendAll(m.stateMachine.Tick(now))
 	m.publish(now)
 }
 
+// publish publishes the list of members to the process if it has changed. It runs on the
+// control loop.
 func (m *mesh) publish(now time.Time) {
-	if m.machine.TakeChanged() {
-		m.process.PublishMembers(now, m.machine.Members())
+	if m.stateMachine.TakeChanged() {
+		m.process.PublishMembers(now, m.stateMachine.Members())
 	}
 }
 
-// deliver sends messages, each in a goroutine of its own.
-func (m *mesh) deliver(sends []membership.Send) {
+// sendAll sends messages, each in its own goroutine.
+func (m *mesh) sendAll(sends []membership.Send) {
 	for _, send := range sends {
 		go m.exchange(send)
 	}
 }
 
-// exchange sends one message and brings the outcome back to the control loop.
+// exchange sends one message and passes the reply or the failure to the state machine, on the
+// control loop.
 func (m *mesh) exchange(send membership.Send) {
 	timeout := m.timeout
 	if send.Message.Kind == membership.PingThrough {
-		timeout *= 2 // the other process needs time for its own probe
+		timeout *= 2 // The other process needs time for its own probe.
 	}
-	asked := clock.Now().Time()
-	reply, err := m.ask(send.To, send.Message, timeout)
+	requestedAt := clock.Now().Time()
+	reply, err := m.request(send.To, send.Message, timeout)
 	m.process.Loop.Post(func(now time.Time) {
-		m.noteSilence(send, err)
+		m.logReachability(send, err)
 		if err != nil {
-			m.deliver(m.machine.Failed(now, send))
+			m.sendAll(m.stateMachine.Failed(now, send))
 		} else {
-			m.deliver(m.machine.Replied(now, send, reply.Membership))
+			m.sendAll(m.stateMachine.Replied(now, send, reply.Membership))
 		}
 		m.publish(now)
 	})
 	if err == nil {
-		m.heard(send.To, reply, asked)
+		m.dispatch(send.To, reply, requestedAt)
 	}
 }
 
-func (m *mesh) ask(address string, message membership.Message, timeout time.Duration) (wire.Envelope, error) {
+// request sends a message to a control address and returns the reply.
+func (m *mesh) request(address string, message membership.Message, timeout time.Duration) (wire.Envelope, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	envelope := m.envelope(message)
@@ -61,7 +65,7 @@
 	return reply, err
 }
 
-// envelope adds to a message what this process knows beside the members.
+// envelope adds the revisions of documents and the digest of the quarantine to a message.
 func (m *mesh) envelope(message membership.Message) wire.Envelope {
 	envelope := wire.Envelope{Membership: message, Revisions: m.process.Documents.Revisions()}
 	if m.process.Quarantine != nil {
@@ -70,23 +74,23 @@
 	return envelope
 }
 
-// heard passes on what a peer knows beside the members. asked is when this process asked
-// for it, zero when the peer told it unasked.
-func (m *mesh) heard(peer string, envelope wire.Envelope, asked time.Time) {
-	m.process.Documents.Heard(peer, envelope.Revisions, asked)
+// dispatch passes the revisions and the digest in a peer's envelope to the plug-ins that own
+// them. requestedAt is when this process sent the request, zero for an unsolicited message.
+func (m *mesh) dispatch(peer string, envelope wire.Envelope, requestedAt time.Time) {
+	m.process.Documents.Heard(peer, envelope.Revisions, requestedAt)
 	if m.process.Quarantine != nil {
 		m.process.Quarantine.Heard(peer, envelope.Quarantine)
 	}
 }
 
-// serveGossip answers a message of a peer.
+// serveGossip answers a message from a peer.
 func (m *mesh) serveGossip(w http.ResponseWriter, r *http.Request) {
 	var envelope wire.Envelope
 	if !kernel.ReadJSON(w, r, &envelope) {
 		return
 	}
 	reply, err := kernel.Ask(r.Context(), m.process.Loop, func(now time.Time) membership.Message {
-		answer := m.machine.Receive(now, envelope.Membership)
+		answer := m.stateMachine.Receive(now, envelope.Membership)
 		m.publish(now)
 		return answer
 	})
@@ -98,17 +102,17 @@
 		reply.OK = m.probeFor(envelope.Membership.Target)
 	}
 	kernel.WriteJSON(w, m.envelope(reply))
-	m.heard(envelope.Membership.From.Control, envelope, time.Time{})
+	m.dispatch(envelope.Membership.From.Control, envelope, time.Time{})
 }
 
-// probeFor repeats a probe on behalf of another process.
+// probeFor probes an address on behalf of another process and reports whether it answered.
 func (m *mesh) probeFor(target string) bool {
 	message, err := kernel.Ask(context.Background(), m.process.Loop, func(time.Time) membership.Message {
-		return m.machine.PingMessage()
+		return m.stateMachine.PingMessage()
 	})
 	if err != nil {
 		return false
 	}
-	_, err = m.ask(target, message, m.timeout)
+	_, err = m.request(target, message, m.timeout)
 	return err == nil
 }
--- a/plugin/membership/log.go
+++ b/plugin/membership/log.go
@@ -7,24 +7,25 @@
 	"github.com/loomcleat/loomcleat/membership"
 )
 
-// noteSilence logs once that an address at which part of the mesh may be does not
-// answer. It runs on the control loop.
-func (m *mesh) noteSilence(send membership.Send, err error) {
+// logReachability logs when an address stops answering sync messages, and when it answers again.
+// It runs on the control loop.
+func (m *mesh) logReachability(send membership.Send, err error) {
 	if err == nil {
-		if m.silent[send.To] {
+		if m.unreachable[send.To] {
 			m.process.Log.Emit(event.PeerRegained, "address", send.To)
 		}
-		delete(m.silent, send.To)
+		delete(m.unreachable, send.To)
 		return
 	}
-	if send.Message.Kind != membership.Sync || m.silent[send.To] {
+	if send.Message.Kind != membership.Sync || m.unreachable[send.To] {
 		return
 	}
-	m.silent[send.To] = true
+	m.unreachable[send.To] = true
 	m.process.Log.Emit(event.PeerUnreachable, "address", send.To, "error", err)
 }
 
-// logChange logs a change of a member's record. It runs on the control loop.
+// logChange logs a change of a member's record. Announced changes of this process's own
+// record are not logged. It runs on the control loop.
 func (m *mesh) logChange(before, after membership.Member) {
 	switch {
 	case after.ID == m.process.ID:
--- a/plugin/membership/machines.go
+++ b/plugin/membership/machines.go
@@ -17,29 +17,30 @@
 
 // Polling of the machine list.
 const (
-	// pollers is the number of processes that poll. The others hear of members by gossip.
-	pollers = 3
+	// pollerCount is the number of processes that poll. The others discover members by gossip.
+	pollerCount = 3
 	// pollInterval is the mean time between two polls.
 	pollInterval = 2 * time.Second
 	// earlyPolls is the number of polls after the start that are earlyInterval apart, to
-	// find others that start as well.
+	// discover processes that start at the same time.
 	earlyPolls    = 4
 	earlyInterval = 400 * time.Millisecond
 )
 
-// pollMachines reads the machine list now and then. The list adds addresses to
-// try and tells machines that they are leaving. It never removes a member.
+// pollMachines polls the machine list, if this process is one of the pollers, until ctx is
+// done. The list provides seed addresses and shows which machines are leaving. It never
+// removes a member.
 func (m *mesh) pollMachines(ctx context.Context) {
 	reachable, polls := true, 0
 	for ctx.Err() == nil {
-		if m.watches() {
+		if m.isPoller() {
 			machines, err := m.process.Machines.List(ctx)
 			if (err == nil) != reachable && ctx.Err() == nil {
 				reachable = err == nil
-				m.logReachable(err)
+				m.logMachineList(err)
 			}
 			if err == nil {
-				m.use(ctx, machines)
+				m.applyMachines(ctx, machines)
 			}
 		}
 		wait := pollInterval
@@ -50,7 +51,8 @@
 	}
 }
 
-func (m *mesh) logReachable(err error) {
+// logMachineList logs that the machine list can be read again, or the error if it can't.
+func (m *mesh) logMachineList(err error) {
 	if err != nil {
 		m.process.Log.Emit(event.MachineListDown, "error", err)
 		return
@@ -58,13 +60,14 @@
 	m.process.Log.Emit(event.MachineListUp)
 }
 
-// watches reports whether this process is one of those that poll.
-func (m *mesh) watches() bool {
-	return spread.Watches(m.process.ID, kernel.LiveIDs(*m.process.Members.Load()), pollers)
+// isPoller reports whether this process is one of the pollers.
+func (m *mesh) isPoller() bool {
+	return spread.Watches(m.process.ID, kernel.LiveIDs(*m.process.Members.Load()), pollerCount)
 }
 
-// use takes a reading of the machine list.
-func (m *mesh) use(ctx context.Context, machines []store.Machine) {
+// applyMachines applies a reading of the machine list: it stores the reading, updates the
+// seeds, and notifies members whose machines are leaving.
+func (m *mesh) applyMachines(ctx context.Context, machines []store.Machine) {
 	m.process.MachineState.Store(&kernel.MachineState{At: clock.Now(), Machines: machines})
 	seeds := append([]string{}, m.process.Settings.Seeds...)
 	leaving := map[string]bool{}
@@ -75,7 +78,7 @@
 			seeds = append(seeds, machine.Control)
 		}
 	}
-	m.process.Loop.Post(func(time.Time) { m.machine.SetSeeds(seeds) })
+	m.process.Loop.Post(func(time.Time) { m.stateMachine.SetSeeds(seeds) })
 	for _, member := range *m.process.Members.Load() {
 		if leaving[member.Control] && !member.Leaving && member.Status != membership.Dead {
 			m.requestLeave(ctx, member.Control)
@@ -83,19 +86,19 @@
 	}
 }
 
-// requestLeave tells a member that the machine list shows its machine as leaving. The error
-// is dropped: until the member says that it leaves, the next reading tells it again.
+// requestLeave notifies a member that the machine list shows its machine as leaving. The error
+// is dropped: each reading repeats the request until the member announces that it leaves.
 func (m *mesh) requestLeave(ctx context.Context, control string) {
 	ctx, cancel := context.WithTimeout(ctx, m.timeout)
 	defer cancel()
 	_ = m.process.Control.Invoke(ctx, control, http.MethodPost, wire.PathLeave, &wire.Leave{}, &wire.Empty{})
 }
 
-// serveLeave handles the news that the machine list shows this machine as
-// leaving: the process takes no new calls, but does not stop by itself.
+// serveLeave handles a request sent because the machine list shows this machine as leaving.
+// The process announces that it leaves, so that it gets no new calls, but it does not stop.
 func (m *mesh) serveLeave(w http.ResponseWriter, r *http.Request) {
-	// It fails when the sender has gone or this process ends. The sender tells again at its
-	// next reading of the machine list, until this process says that it leaves.
-	_ = m.process.Loop.Do(r.Context(), func(time.Time) { m.machine.SetState(true, false) })
+	// An error is dropped: the sender has disconnected or this process is stopping. The sender
+	// repeats the request until this process announces that it leaves.
+	_ = m.process.Loop.Do(r.Context(), func(time.Time) { m.stateMachine.SetState(true, false) })
 	kernel.WriteJSON(w, wire.Empty{})
 }
--- a/plugin/membership/registry.go
+++ b/plugin/membership/registry.go
@@ -10,15 +10,15 @@
 	"github.com/loomcleat/loomcleat/store"
 )
 
-// Entering the registry.
+// Bounds of registry access.
 const (
 	firstRegisterWait   = 200 * time.Millisecond
 	maximumRegisterWait = 5 * time.Second
 	deregisterTimeout   = time.Second
 )
 
-// register enters this process in the registry, so that others find it. It tries
-// until that has worked; the mesh does not wait for it.
+// register adds this process to the registry, where others discover it. It retries with
+// exponential backoff until it succeeds or ctx is done; the mesh does not wait for it.
 func (m *mesh) register(ctx context.Context) {
 	machine := store.Machine{
 		ID:      m.process.ID,
@@ -40,7 +40,7 @@
 	}
 }
 
-// deregister removes the entry of a process that stops in order.
+// deregister removes this process from the registry during a graceful stop.
 func (m *mesh) deregister(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
--- a/plugin/membership/setup.go
+++ b/plugin/membership/setup.go
@@ -1,10 +1,10 @@
-// Package membership keeps the list of processes by gossip and publishes it to
-// the process. The decisions are made by package membership at the root.
+// Package membership maintains the list of members by gossip and publishes it in the process.
+// The root package membership holds the state machine that makes the decisions.
 //
-// It owns the list of members, the process's entry in the registry and its last reading of
-// the machine list. Its messages carry the revisions of documents and the digest of the
-// quarantine for the plug-ins that own these. It relies on the settings, and on the machine
-// list where there is one, for addresses at which to find others.
+// It owns the list of members, the process's entry in the registry, and the last reading of
+// the machine list. Its messages also carry the revisions of documents and the digest of the
+// quarantine, for the plug-ins that own these. It relies on the settings and, if there is
+// one, on the machine list for addresses of other processes.
 package membership
 
 import (
@@ -23,13 +23,13 @@
 
 func init() { kernel.Register(name, kernel.StageServices, setup) }
 
-// ticksPerGossip is how often the machine is looked at in each gossip interval.
+// ticksPerGossip is the number of ticks of the state machine in each gossip interval.
 const ticksPerGossip = 2
 
 func setup(process *kernel.Process) error {
 	interval := process.Settings.ProbeInterval.Std()
-	m := &mesh{process: process, timeout: interval / 2, silent: map[string]bool{}}
-	m.machine = membership.New(membership.Config{
+	m := &mesh{process: process, timeout: interval / 2, unreachable: map[string]bool{}}
+	m.stateMachine = membership.New(membership.Config{
 		Self: membership.Member{
 			ID:         process.ID,
 			Control:    process.ControlAddress(),
@@ -44,7 +44,7 @@
 		Random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		OnChange:      m.logChange,
 	}, clock.Now().Time())
-	m.machine.SetSeeds(process.Settings.Seeds)
+	m.stateMachine.SetSeeds(process.Settings.Seeds)
 	process.Mesh = m
 	process.HandleControl("POST "+wire.PathGossip, m.serveGossip)
 	process.HandleControl("POST "+wire.PathLeave, m.serveLeave)
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// trafficAddress is empty for gateways, which nobody calls from inside.
+// trafficAddress returns the address for calls from other processes. It is empty for gateways,
+// which get no calls from inside the mesh.
 func trafficAddress(process *kernel.Process) string {
 	if !process.IsNode() {
 		return ""
@@ -70,29 +71,30 @@
 	return process.TrafficAddress()
 }
 
-// mesh drives the membership machine of one process. The machine is owned by
-// the control loop.
+// mesh drives the membership state machine of one process. The control loop owns the state
+// machine and the map.
 type mesh struct {
-	process *kernel.Process
-	machine *membership.Machine
-	timeout time.Duration   // of one message
-	silent  map[string]bool // addresses whose silence has been logged
+	process      *kernel.Process
+	stateMachine *membership.Machine
+	// Bound of one message exchange.
+	timeout time.Duration
+	// Addresses that have been logged as unreachable.
+	unreachable map[string]bool
 }
 
-// SetState implements kernel.Mesh. A process that has told its peers that it leaves
-// stays leaving.
+// SetState implements kernel.Mesh. A process that has announced that it leaves stays leaving.
 func (m *mesh) SetState(leaving, down bool) {
-	m.machine.SetState(leaving || m.process.Announced(), down)
+	m.stateMachine.SetState(leaving || m.process.Announced(), down)
 }
 
 // SetVotes implements kernel.Mesh.
-func (m *mesh) SetVotes(votes []string) { m.machine.SetVotes(votes) }
+func (m *mesh) SetVotes(votes []string) { m.stateMachine.SetVotes(votes) }
 
 // SetSeeds implements kernel.Mesh.
-func (m *mesh) SetSeeds(seeds []string) { m.machine.SetSeeds(seeds) }
+func (m *mesh) SetSeeds(seeds []string) { m.stateMachine.SetSeeds(seeds) }
 
 // Announce implements kernel.Mesh.
-func (m *mesh) Announce() { m.machine.Announce() }
+func (m *mesh) Announce() { m.stateMachine.Announce() }
 
 func (m *mesh) countLive() float64 {
 	count := 0
