--- a/store/consulkv/client.go
+++ b/store/consulkv/client.go
@@ -1,6 +1,7 @@
-// Package consulkv implements package platform over the HTTP API of Consul:
-// the KV store (compare-and-swap by ModifyIndex, blocking queries), sessions
-// and the catalog. See https://developer.hashicorp.com/consul/api-docs.
+// Package consulkv implements the interfaces of package store with the HTTP API of Consul:
+// the KV store (compare-and-swap by ModifyIndex, blocking queries) for keys, sessions for
+// leases and the catalog for the machine list. It owns the connections to Consul and
+// caches no data. See https://developer.hashicorp.com/consul/api-docs.
 package consulkv
 
 import (
@@ -17,16 +18,16 @@
 	"github.com/loomcleat/loomcleat/store"
 )
 
-// maximumResponse bounds how much of an answer is read, in bytes.
+// maximumResponse is the maximum number of bytes read from one answer.
 const maximumResponse = 16 << 20
 
 // Config configures a Client.
 type Config struct {
-	// BaseURL is the address of the service, such as http://127.0.0.1:8500.
+	// BaseURL of the service, such as http://127.0.0.1:8500.
 	BaseURL string
 
 	// Timeout bounds one request in addition to the caller's context. A
-	// blocking query gets its wait time on top. Default 2s.
+	// blocking query may take its wait time in addition. Default 2s.
 	Timeout time.Duration
 }
 
@@ -60,15 +61,15 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// answer is a whole answer of the service.
+// answer is a complete answer of the service.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// do sends one request and reads the whole answer. Failures of writes that may
-// have taken effect become result.EditOutcomeUnknown.
+// do sends one request and reads the complete answer; extra is added to the timeout. It
+// returns a result.EditOutcomeUnknown error if a write failed but may have taken effect.
 func (c *Client) do(ctx context.Context, method, target string, body []byte, extra time.Duration) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout+extra)
 	defer cancel()
@@ -78,12 +79,12 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return answer{}, store.Lost(err, method != http.MethodGet)
+		return answer{}, store.UnansweredError(err, method != http.MethodGet)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maximumResponse))
 	if err != nil {
-		return answer{}, store.Lost(err, method != http.MethodGet)
+		return answer{}, store.UnansweredError(err, method != http.MethodGet)
 	}
 	got := answer{status: response.StatusCode, header: response.Header, body: content}
 	return got, statusError(method, got)
@@ -94,7 +95,7 @@
 	case got.status < 300 || got.status == http.StatusNotFound:
 		return nil
 	case got.status == http.StatusTooManyRequests:
-		return result.New(result.StoreUnavailable, "the store limits the rate of requests").WithUsualRetryAfter()
+		return result.New(result.StoreUnavailable, "the store rejected a request: rate limit exceeded").WithUsualRetryAfter()
 	case method != http.MethodGet && got.status != http.StatusServiceUnavailable:
 		return result.New(result.EditOutcomeUnknown, "the store answered a write with status %d", got.status)
 	default:
@@ -104,7 +105,7 @@
 
 func decode(got answer, into any) error {
 	if err := json.Unmarshal(got.body, into); err != nil {
-		return result.Wrap(result.StoreUnavailable, err, "the store's answer is not understood")
+		return result.Wrap(result.StoreUnavailable, err, "decoding the store's answer")
 	}
 	return nil
 }
--- a/store/consulkv/contract_test.go
+++ b/store/consulkv/contract_test.go
@@ -15,7 +15,7 @@
 
 const clientTimeout = 300 * time.Millisecond
 
-func fresh(t *testing.T) storetest.Subject {
+func newSubject(t *testing.T) storetest.Subject {
 	stub := consul.NewServer()
 	server := httptest.NewServer(stub.Handler())
 	t.Cleanup(server.Close)
@@ -35,11 +35,11 @@
 			stub.SetFaults(consul.Faults{Delay: time.Hour})
 		}
 	}
-	return storetest.Subject{Store: client, SetFault: setFault, Patience: 10 * clientTimeout}
+	return storetest.Subject{Store: client, SetFault: setFault, MaximumCallTime: 10 * clientTimeout}
 }
 
 func TestStoreContract(t *testing.T) {
-	storetest.Run(t, fresh)
+	storetest.Run(t, newSubject)
 }
 
 func TestMachineList(t *testing.T) {
@@ -61,7 +61,7 @@
 	stub.Register(row)
 	machines, err = client.List(t.Context())
 	is.NoErr(err)
-	is.Equal(len(machines), 0) // an hour ago nothing was registered
+	is.Equal(len(machines), 0) // the list is an hour old, before the machine was registered
 
 	stub.SetFaults(consul.Faults{Down: true})
 	_, err = client.List(t.Context())
--- a/store/consulkv/machines.go
+++ b/store/consulkv/machines.go
@@ -9,8 +9,8 @@
 	"github.com/loomcleat/loomcleat/store"
 )
 
-// CatalogService is the name under which the processes of loomcleat are
-// registered in the catalog.
+// CatalogService is the service name under which loomcleat's processes are registered in
+// the catalog.
 const CatalogService = "loomcleat"
 
 // Keys of ServiceMeta in the catalog.
@@ -30,7 +30,6 @@
 	ServiceMeta    map[string]string
 }
 
-// List implements store.MachineList.
 func (c *Client) List(ctx context.Context) ([]store.Machine, error) {
 	got, err := c.do(ctx, http.MethodGet, "/v1/catalog/service/"+CatalogService, nil, 0)
 	if err != nil {
--- a/store/consulkv/store.go
+++ b/store/consulkv/store.go
@@ -30,17 +30,17 @@
 	return target
 }
 
-// Get implements store.Store.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
 	return c.read(ctx, key, url.Values{"consistent": {""}}, 0)
 }
 
-// Watch implements store.Store by a blocking query.
+// Watch implements store.Store with a blocking query.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (store.Entry, error) {
 	query := url.Values{
 		"index": {strconv.FormatUint(after, 10)},
 		"wait":  {fmt.Sprintf("%dms", wait.Milliseconds())},
 	}
+	// Consul adds a random time of up to a sixteenth to the wait.
 	return c.read(ctx, key, query, wait+wait/16)
 }
 
@@ -51,7 +51,7 @@
 	}
 	position, err := strconv.ParseUint(got.header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return store.Entry{}, result.Wrap(result.StoreUnavailable, err, "the store's answer has no index")
+		return store.Entry{}, result.Wrap(result.StoreUnavailable, err, "the store's answer has no valid X-Consul-Index header")
 	}
 	if got.status == http.StatusNotFound {
 		return store.Entry{Watch: position}, nil
@@ -66,7 +66,6 @@
 	return store.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex, Exists: true, Watch: position}, nil
 }
 
-// CompareAndSwap implements store.Store.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	return c.write(ctx, keyPath(key, url.Values{"cas": {strconv.FormatUint(index, 10)}}), value)
 }
@@ -83,7 +82,7 @@
 	case "false":
 		return false, nil
 	default:
-		return false, result.New(result.EditOutcomeUnknown, "the store's answer to a write is not understood")
+		return false, result.New(result.EditOutcomeUnknown, "unexpected answer to a write, which may have taken effect")
 	}
 }
 
@@ -107,11 +106,12 @@
 	ID string
 }
 
-// AcquireLease implements store.Store by a session with a time to live.
+// AcquireLease implements store.Store with a session that has a TTL. The key is deleted
+// when the session ends.
 func (c *Client) AcquireLease(ctx context.Context, name, holder string, ttl time.Duration) (store.Lease, bool, error) {
 	body, err := json.Marshal(sessionRequest{Name: holder, TTL: ttl.String(), LockDelay: "0s", Behavior: "delete"})
 	if err != nil {
-		return nil, false, result.Wrap(result.Internal, err, "encoding a session")
+		return nil, false, result.Wrap(result.Internal, err, "encoding a session request")
 	}
 	got, err := c.do(ctx, http.MethodPut, "/v1/session/create", body, 0)
 	if err != nil {
@@ -124,13 +124,12 @@
 	held := &lease{client: c, session: created.ID, key: name}
 	acquired, err := c.write(ctx, keyPath(name, url.Values{"acquire": {created.ID}}), []byte(holder))
 	if err != nil || !acquired {
-		_ = held.Release(ctx) // the session lapses by itself when this fails
+		_ = held.Release(ctx) // if this fails, the session expires by itself
 		return nil, false, err
 	}
 	return held, true, nil
 }
 
-// Renew implements store.Lease.
 func (l *lease) Renew(ctx context.Context) (bool, error) {
 	got, err := l.client.do(ctx, http.MethodPut, "/v1/session/renew/"+l.session, nil, 0)
 	if err != nil {
@@ -139,7 +138,6 @@
 	return got.status != http.StatusNotFound, nil
 }
 
-// Release implements store.Lease.
 func (l *lease) Release(ctx context.Context) error {
 	_, err := l.client.do(ctx, http.MethodPut, "/v1/session/destroy/"+l.session, nil, 0)
 	return err
--- a/store/storetest/contract.go
+++ b/store/storetest/contract.go
@@ -1,5 +1,5 @@
-// Package storetest is the contract test of package store. Each adapter
-// runs it against its service or a stand-in of it.
+// Package storetest is the contract test for implementations of store.Store. Each adapter
+// runs it against its service or a stub of it.
 package storetest
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/loomcleat/loomcleat/store"
 )
 
-// Fault is a way in which the service under test can be made to fail.
+// Fault is a failure mode of the service under test.
 type Fault int
 
 // Faults.
@@ -24,39 +24,39 @@
 	Healthy Fault = iota
 	Down
 	RateLimited
-	AnswerLost // the next write takes effect, but its answer does not arrive
-	Slow       // slower than the adapter's timeout
+	AnswerLost // the next write takes effect, but its answer is lost
+	Slow       // the service takes longer than the adapter's timeout
 )
 
-// Subject is one fresh service with an adapter.
+// Subject is an adapter with a new, empty service.
 type Subject struct {
 	Store store.Store
-	// SetFault puts a fault in force.
+	// SetFault sets the service's failure mode.
 	SetFault func(Fault)
-	// Patience is the longest that a call may take when the service is Slow.
-	Patience time.Duration
+	// MaximumCallTime is the maximum duration of a call while the service is Slow.
+	MaximumCallTime time.Duration
 }
 
-// Run checks that adapters made by fresh fulfil the contract.
-func Run(t *testing.T, fresh func(t *testing.T) Subject) {
-	t.Run("a missing key is not an error", func(t *testing.T) { testMissing(t, fresh(t)) })
-	t.Run("compare-and-swap", func(t *testing.T) { testCompareAndSwap(t, fresh(t)) })
-	t.Run("one winner among racing writers", func(t *testing.T) { testRace(t, fresh(t)) })
-	t.Run("watch", func(t *testing.T) { testWatch(t, fresh(t)) })
-	t.Run("lease", func(t *testing.T) { testLease(t, fresh(t)) })
+// Run checks that adapters made by newSubject fulfil the contract.
+func Run(t *testing.T, newSubject func(t *testing.T) Subject) {
+	t.Run("a missing key is not an error", func(t *testing.T) { testMissing(t, newSubject(t)) })
+	t.Run("compare-and-swap", func(t *testing.T) { testCompareAndSwap(t, newSubject(t)) })
+	t.Run("one winner among racing writers", func(t *testing.T) { testRace(t, newSubject(t)) })
+	t.Run("watch", func(t *testing.T) { testWatch(t, newSubject(t)) })
+	t.Run("lease", func(t *testing.T) { testLease(t, newSubject(t)) })
 	for _, c := range faultCases {
-		t.Run(c.name, func(t *testing.T) { testFault(t, fresh(t), c) })
+		t.Run(c.name, func(t *testing.T) { testFault(t, newSubject(t), c) })
 	}
 }
 
-// faultCase states what a read and a write report under a fault, and whether
-// the write took effect.
+// faultCase gives the expected results of a write and a read under a fault, and whether
+// the write takes effect.
 type faultCase struct {
 	name      string
 	fault     Fault
 	readCode  result.Code // 0: no error
 	writeCode []result.Code
-	written   []bool // allowed effects of the write
+	written   []bool // allowed values of whether the write took effect
 }
 
 var faultCases = []faultCase{
@@ -93,8 +93,8 @@
 	defer cancel()
 	s.SetFault(c.fault)
 	wrote, err := s.Store.CompareAndSwap(ctx, "contract/key", []byte("1"), 0)
-	is.True(contains(c.writeCode, codeOf(err))) // the write reports this fault
-	is.Equal(wrote, err == nil)                 // never "written" with an error
+	is.True(contains(c.writeCode, codeOf(err))) // the write returns one of the codes for this fault
+	is.Equal(wrote, err == nil)                 // a write that returns an error does not report success
 	_, err = s.Store.Get(ctx, "contract/key")
 	is.Equal(codeOf(err), c.readCode)
 	s.SetFault(Healthy)
@@ -128,7 +128,7 @@
 	is.True(wrote)
 	wrote, err = s.Store.CompareAndSwap(ctx, "contract/a b?c", []byte("three"), first.Index)
 	is.NoErr(err)
-	is.True(!wrote) // the index has moved
+	is.True(!wrote) // the index has changed
 	second, err := s.Store.Get(ctx, "contract/a b?c")
 	is.NoErr(err)
 	is.Equal(string(second.Value), "two")
@@ -187,14 +187,14 @@
 	is.True(acquired)
 	_, acquired, err = s.Store.AcquireLease(ctx, "contract/lease", "two", 10*time.Second)
 	is.NoErr(err)
-	is.True(!acquired) // held by another
+	is.True(!acquired) // another holder has the lease
 	alive, err := lease.Renew(ctx)
 	is.NoErr(err)
 	is.True(alive)
 	is.NoErr(lease.Release(ctx))
 	alive, err = lease.Renew(ctx)
 	is.NoErr(err)
-	is.True(!alive) // it is gone
+	is.True(!alive) // the lease was released
 	other, acquired, err := s.Store.AcquireLease(ctx, "contract/lease", "two", 10*time.Second)
 	is.NoErr(err)
 	is.True(acquired)
