--- a/settings/check.go
+++ b/settings/check.go
@@ -13,7 +13,7 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9-]{1,63}$`)
 
-// checker collects the first problem of a Settings.
+// checker records the first invalid value of a Settings.
 type checker struct {
 	lines Lines
 	err   error
@@ -64,8 +64,8 @@
 	c.require(false, key, value, strings.Join(allowed, ", "))
 }
 
-// Check verifies the settings. It returns a result.SettingsInvalid error that
-// names the file, the line and what is allowed.
+// Check validates the settings. It returns a result.SettingsInvalid error for the first
+// invalid value, with its file and line (or its flag) and the allowed values.
 func (s *Settings) Check(lines Lines) error {
 	c := &checker{lines: lines}
 	c.name("region", s.Region)
@@ -119,7 +119,7 @@
 	c.duration("retry_budget", budget.Window, time.Second, 10*time.Minute)
 }
 
-// checkTenancy checks what is set about tenants: revocation and quotas.
+// checkTenancy checks the settings that concern tenants: key revocation and quotas.
 func (s *Settings) checkTenancy(c *checker) {
 	if s.KeyRevocation != 0 {
 		c.duration("key_revocation", s.KeyRevocation, 4*time.Second, 10*time.Minute)
--- a/settings/compare.go
+++ b/settings/compare.go
@@ -2,11 +2,11 @@
 
 import "reflect"
 
-// reloadable are the keys whose changes are in force without a restart.
+// reloadable holds the keys whose changes take effect without a restart.
 var reloadable = map[string]bool{"log": true, "seeds": true}
 
-// Compare returns the keys in which two settings differ: those that can be put
-// in force at once, and those that need a restart.
+// Compare returns the keys whose values differ: those that can be changed while the process
+// runs, and those that need a restart.
 func Compare(before, after Settings) (changed, needRestart []string) {
 	changed, needRestart = []string{}, []string{}
 	valuesBefore, valuesAfter := reflect.ValueOf(before), reflect.ValueOf(after)
--- a/settings/compare_test.go
+++ b/settings/compare_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestCompareTellsWhatNeedsARestart(t *testing.T) {
+func TestCompare(t *testing.T) {
 	is := is.New(t)
 	before := Default(RoleNode)
 	after := before
--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Default returns the settings of a process whose file is empty.
+// Default returns the settings of a process with an empty settings file.
 func Default(role Role) Settings {
 	return Settings{
 		Role:         role,
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -14,43 +14,43 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// TestKeysAndDefaults lists every key of the settings file with its value for an empty
-// file.
+// TestKeysAndDefaults guards against changes to the keys of the settings file and their
+// defaults.
 func TestKeysAndDefaults(t *testing.T) {
 	for _, role := range []settings.Role{settings.RoleNode, settings.RoleGateway} {
-		golden.Text(t, "defaults-"+string(role)+".txt", listOf(settings.Default(role)))
+		golden.Text(t, "defaults-"+string(role)+".txt", formatSettings(settings.Default(role)))
 	}
 }
 
-// TestFilesOfOperators: each key is read with its unit.
-func TestFilesOfOperators(t *testing.T) {
+// TestLoadAllKeys guards against keys that are read with another unit or not at all.
+func TestLoadAllKeys(t *testing.T) {
 	for _, role := range []settings.Role{settings.RoleNode, settings.RoleGateway} {
 		is := is.New(t)
 		loaded, lines, err := settings.Load(role, filepath.Join("testdata", "golden", string(role)+".yaml"))
 		is.NoErr(err)
 		is.NoErr(loaded.Check(lines))
-		golden.Text(t, "read-"+string(role)+".txt", listOf(loaded))
+		golden.Text(t, "read-"+string(role)+".txt", formatSettings(loaded))
 	}
 }
 
-// TestWhatIsAllowed sets one key after the other to a value that is out of range, or of
-// another type, and lists what the operator is told.
-func TestWhatIsAllowed(t *testing.T) {
-	told := &strings.Builder{}
+// TestInvalidValues sets each key to a value that is out of range or of another type, and
+// guards against accepting it or changing the error text.
+func TestInvalidValues(t *testing.T) {
+	report := &strings.Builder{}
 	for _, role := range []settings.Role{settings.RoleNode, settings.RoleGateway} {
 		valid, err := os.ReadFile(filepath.Join("testdata", "golden", string(role)+".yaml"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, wrong := range wrongLines(string(role)) {
-			fmt.Fprintf(told, "%s: %s\n  %s\n", role, strings.ReplaceAll(wrong, "\n", " "), refusalOf(t, role, string(valid), wrong))
+		for _, invalid := range invalidLines(string(role)) {
+			fmt.Fprintf(report, "%s: %s\n  %s\n", role, strings.ReplaceAll(invalid, "\n", " "), settingsError(t, role, string(valid), invalid))
 		}
 	}
-	golden.Text(t, "refusals.txt", []byte(told.String()))
+	golden.Text(t, "refusals.txt", []byte(report.String()))
 }
 
-// wrongLines returns a wrong value for each key that has bounds.
-func wrongLines(role string) []string {
+// invalidLines returns lines that each set one key to an invalid value.
+func invalidLines(role string) []string {
 	lines := []string{
 		"unknown_key: 1", "id: UPPER", "region: UPPER", "zone: UPPER", "listen: nowhere", "control: nowhere", "admin: nowhere",
 		"readiness: nowhere", "store_api: other", "store: ftp://x", "machine_list: ftp://x", "seeds: [nowhere]",
@@ -67,11 +67,11 @@
 	return append(lines, "service: x", "backend: 127.0.0.1:1", "routes:\n  - service: UPPER", "routes:\n  - service: x\n    path_prefix: x")
 }
 
-// refusalOf returns what an operator is told about a file in which a key has been set to
-// a wrong value.
-func refusalOf(t *testing.T, role settings.Role, valid, wrong string) string {
+// settingsError returns the error text for the settings file valid after the key set in
+// invalid has been replaced by it.
+func settingsError(t *testing.T, role settings.Role, valid, invalid string) string {
 	t.Helper()
-	key, _, _ := strings.Cut(wrong, ":")
+	key, _, _ := strings.Cut(invalid, ":")
 	kept := []string{}
 	dropping := false
 	for _, line := range strings.Split(valid, "\n") {
@@ -83,7 +83,7 @@
 		}
 	}
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	if err := os.WriteFile(file, []byte(wrong+"\n"+strings.Join(kept, "\n")), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(invalid+"\n"+strings.Join(kept, "\n")), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	loaded, lines, err := settings.Load(role, file)
@@ -91,40 +91,40 @@
 		err = loaded.Check(lines)
 	}
 	if err == nil {
-		t.Fatalf("%s was accepted", wrong)
+		t.Fatalf("invalid setting %s was accepted", invalid)
 	}
 	return strings.ReplaceAll(err.Error(), filepath.Dir(file)+"/", "")
 }
 
-// listOf lists the keys of settings with their values, in the order of the fields.
-func listOf(s settings.Settings) []byte {
+// formatSettings returns the keys of s with their values, in the order of the fields.
+func formatSettings(s settings.Settings) []byte {
 	list := &strings.Builder{}
-	addKeys(list, "", reflect.ValueOf(s))
+	writeKeys(list, "", reflect.ValueOf(s))
 	return []byte(list.String())
 }
 
-func addKeys(list *strings.Builder, prefix string, value reflect.Value) {
+func writeKeys(list *strings.Builder, prefix string, value reflect.Value) {
 	for i := range value.NumField() {
 		key, field := value.Type().Field(i).Tag.Get("yaml"), value.Field(i)
 		switch {
 		case key == "-":
 		case field.Kind() == reflect.Struct:
-			addKeys(list, prefix+key+".", field)
+			writeKeys(list, prefix+key+".", field)
 		case field.Kind() == reflect.Slice:
-			fmt.Fprintf(list, "%s%s: %+v\n", prefix, key, keysOfElements(field))
+			fmt.Fprintf(list, "%s%s: %+v\n", prefix, key, formatElements(field))
 		default:
-			fmt.Fprintf(list, "%s%s: %s %v\n", prefix, key, field.Kind(), textOf(field))
+			fmt.Fprintf(list, "%s%s: %s %v\n", prefix, key, field.Kind(), valueOf(field))
 		}
 	}
 }
 
-// keysOfElements lists the elements of a list.
-func keysOfElements(list reflect.Value) []string {
+// formatElements returns each element of a list as text.
+func formatElements(list reflect.Value) []string {
 	elements := []string{}
 	for i := range list.Len() {
 		text := &strings.Builder{}
 		if list.Index(i).Kind() == reflect.Struct {
-			addKeys(text, "", list.Index(i))
+			writeKeys(text, "", list.Index(i))
 		} else {
 			fmt.Fprint(text, list.Index(i))
 		}
@@ -133,7 +133,7 @@
 	return elements
 }
 
-func textOf(field reflect.Value) any {
+func valueOf(field reflect.Value) any {
 	if duration, ok := field.Interface().(settings.Duration); ok {
 		return duration.Std()
 	}
--- a/settings/load.go
+++ b/settings/load.go
@@ -14,7 +14,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// UnmarshalYAML reads a duration with its unit.
+// UnmarshalYAML decodes a duration with its unit, such as 250ms.
 func (d *Duration) UnmarshalYAML(data []byte) error {
 	text := strings.Trim(strings.TrimSpace(string(data)), `"'`)
 	parsed, err := time.ParseDuration(text)
@@ -25,19 +25,19 @@
 	return nil
 }
 
-// durationError is a duration without a unit that is known. The YAML library
-// does not say where it stands.
+// durationError reports a text that is not a valid duration. It keeps the text, since the
+// YAML library does not report its position.
 type durationError struct {
 	text string
 }
 
-// Error implements error.
 func (e *durationError) Error() string {
 	return fmt.Sprintf("%q is not a duration; allowed: a number with a unit, such as 250ms, 2s or 10m", e.text)
 }
 
-// Load reads the settings file over the defaults of role. It checks the form
-// of the file only; call Check once flags have been applied.
+// Load returns the defaults of role, overridden by the settings file, and the line of each
+// key. It checks syntax, keys and types only; call Check after flags have been applied.
+// Without a file, it returns the defaults.
 func Load(role Role, file string) (Settings, Lines, error) {
 	loaded := Default(role)
 	if file == "" {
@@ -57,8 +57,8 @@
 	return loaded, lines, nil
 }
 
-// decodeError turns an error of the YAML library into one line that names file,
-// line and what is allowed.
+// decodeError converts an error of the YAML library into a one-line error with the file, the
+// line and, for an unknown key, the allowed keys.
 func decodeError(file string, data []byte, err error) error {
 	line := 0
 	message := err.Error()
@@ -82,7 +82,7 @@
 	return result.New(result.SettingsInvalid, "%s:%d: %s", file, line, message)
 }
 
-// lineOf returns the number of the first line that contains text, 0 for none.
+// lineOf returns the number of the first line that contains text, 0 if there is none.
 func lineOf(data []byte, text string) int {
 	for i, line := range strings.Split(string(data), "\n") {
 		if strings.Contains(line, text) {
@@ -92,13 +92,13 @@
 	return 0
 }
 
-// Lines knows the line of each key of a settings file, for error messages.
+// Lines holds the line number of each key of a settings file, for error messages.
 type Lines struct {
 	file  string
 	lines map[string]int
 }
 
-// At returns "file:line" of a key, or the key's name when it was not in a file.
+// At returns "file:line" of a key, or the name of its flag if the key is not in the file.
 func (l Lines) At(key string) string {
 	if line, ok := l.lines[key]; ok {
 		return fmt.Sprintf("%s:%d", l.file, line)
--- a/settings/stop.go
+++ b/settings/stop.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Shares of StopWithin. Callers look at the readiness only now and then, so that requests
-// are taken for a while; the rest is for those in flight then. Estimates.
+// Times of a graceful stop, from its start, as shares of StopWithin.
 const (
-	// announceShare is the time for which requests are still taken.
+	// announceShare is the time until which the process still accepts requests, since
+	// callers poll the readiness only from time to time.
 	announceShare = 0.5
-	// stopShare is the time after which the process ends whatever is in flight, which
-	// leaves a tenth for closing its listeners.
+	// stopShare is the time after which the process aborts requests in flight. The rest
+	// is for closing its listeners.
 	stopShare = 0.9
 )
 
-// StopTimes returns how long a process that was told to stop still takes
-// requests, and how long it then waits for those in flight.
+// StopTimes returns how long a stopping process still accepts requests, and how long it then
+// waits for requests in flight.
 func (s *Settings) StopTimes() (announce, drain time.Duration) {
 	if s.StopWithin == 0 {
 		return s.AnnounceTime.Std(), s.DrainTimeout.Std()
