--- a/wire/claims.go
+++ b/wire/claims.go
@@ -2,8 +2,8 @@
 
 import "github.com/loomcleat/loomcleat/claims"
 
-// Paths of the control listener for claims. They are served with the setting claims:
-// true only.
+// Paths of the control listener for claims. They are served only with the setting
+// claims: true.
 const (
 	PathClaim       = "/v1/claims/claim"
 	PathWithdraw    = "/v1/claims/withdraw"
@@ -21,13 +21,14 @@
 	Claim claims.Claim `json:"claim"`
 }
 
-// ClaimReply is the answer of a replica.
+// ClaimReply is a replica's answer to a ClaimRequest.
 type ClaimReply struct {
 	Reply    claims.Reply `json:"reply"`
-	Revision uint64       `json:"revision"` // of the replica's claim groups
+	Revision uint64       `json:"revision"` // revision of the replica's claim groups
 }
 
-// ClaimUpdate withdraws a claim or stores the answer of its run.
+// ClaimUpdate withdraws a claim on PathWithdraw, or stores the answer of its run on
+// PathFinish.
 type ClaimUpdate struct {
 	Group  int            `json:"group"`
 	Key    claims.Key     `json:"key"`
@@ -35,59 +36,62 @@
 	Answer *claims.Answer `json:"answer,omitempty"`
 }
 
-// HandOverRequest asks for the claims of a group for a new epoch.
+// HandOverRequest requests the claims of a group for a new epoch.
 type HandOverRequest struct {
 	Group int    `json:"group"`
 	Epoch uint64 `json:"epoch"`
-	// Document is the Groups document with that epoch, so that the replica can
-	// adopt it first.
+	// Document is the claim groups document with that epoch, which the replica adopts
+	// before it answers.
 	Document []byte `json:"document"`
 }
 
-// HandOverReply is the answer: OK is false when the replica cannot serve.
+// HandOverReply is the answer to a HandOverRequest. OK is false if the replica cannot serve
+// the request.
 type HandOverReply struct {
 	OK     bool                 `json:"ok"`
 	Claims []claims.Transferred `json:"claims"`
 }
 
-// VoteTransfer hands the vote of a replica, with its claims, to another process.
+// VoteTransfer transfers the vote of a replica, with its claims, to another process.
 type VoteTransfer struct {
+	// Vote has the key "seat" on the wire.
 	Vote     claims.Vote          `json:"seat"`
 	Claims   []claims.Transferred `json:"claims"`
 	Document []byte               `json:"document"` // see HandOverRequest
 }
 
-// VoteTransferReply is the answer: OK is false when the process refuses the vote.
+// VoteTransferReply is the answer to a VoteTransfer. OK is false if the process refuses the
+// vote.
 type VoteTransferReply struct {
 	OK bool `json:"ok"`
 }
 
-// OutcomeRequest asks a runner what became of its run of a key. Another process
-// that has got the runner's address does not answer for it.
+// OutcomeRequest asks a runner for the outcome of its run of a key. It contains the
+// runner's ID, so that a new process at the same address does not answer for the runner.
 type OutcomeRequest struct {
 	Runner string     `json:"runner"`
 	Key    claims.Key `json:"key"`
 	Run    string     `json:"run"`
 }
 
-// RunState is what became of a run.
+// RunState is the state of a run.
 type RunState int
 
-// States of a run.
+// Run states.
 const (
-	RunUnknown  RunState = iota // the runner does not know the run
-	RunNeverRan                 // it was given up and never ran
-	RunActive                   // it is running
-	RunFinished                 // it has ended
+	RunUnknown  RunState = iota // the answering process does not know the run
+	RunNeverRan                 // the run was abandoned before it started
+	RunActive                   // the run is in progress
+	RunFinished                 // the run has ended
 )
 
-// OutcomeReply is the answer of a runner.
+// OutcomeReply is the runner's answer to an OutcomeRequest.
 type OutcomeReply struct {
 	State  RunState       `json:"state"`
-	Answer *claims.Answer `json:"answer,omitempty"` // with RunFinished, when kept
+	Answer *claims.Answer `json:"answer,omitempty"` // set with RunFinished if the runner still has it
 }
 
-// ClaimStatus says in which groups a process votes at their highest epoch.
+// ClaimStatus lists the groups in which a process votes at their highest epoch.
 type ClaimStatus struct {
 	Revision uint64 `json:"revision"`
 	Voting   []int  `json:"voting"`
--- a/wire/context.go
+++ b/wire/context.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// CallContext is what a process tells a node with a call that it sends there.
+// CallContext is the metadata that a process sends to a node with a call.
 type CallContext struct {
-	// Service is the service that the call is for.
+	// Service that is called.
 	Service string
-	// Request identifies the user request across the whole call graph. A call without
-	// one comes from outside the mesh.
+	// Request identifies the user request in the whole call graph. It is empty for a call
+	// from outside the mesh.
 	Request string
-	// Attempt identifies one attempt of one call; the report echoes it.
+	// Attempt identifies one attempt of one call. The Report contains the same value.
 	Attempt string
-	// Priority is the priority of the user request, 0 to 1023.
+	// Priority of the user request, 0 to 1023.
 	Priority int
-	// Remaining is the time left for the call, sent in whole microseconds.
+	// Remaining is the time until the call's deadline, sent in whole microseconds.
 	Remaining time.Duration
-	// Budget is the number of retries lent with the call.
+	// Budget is the number of retries that are delegated with the call.
 	Budget int
 	// Hops is the number of calls above this one in the call graph.
 	Hops int
-	// Target is the target latency of the call's route, sent in whole milliseconds.
+	// Target is the target latency of the call's route, sent in milliseconds.
 	Target time.Duration
-	// Repeat says that this attempt, or one above it in the call graph, is not the
-	// first of its call.
+	// Repeat is true if this attempt, or one above it in the call graph, is not the first
+	// attempt of its call.
 	Repeat bool
-	// ClaimKey is the key under which the call may run at most once, "" for calls that
-	// may be repeated.
+	// ClaimKey is the key under which the call may run at most once, "" for a repeatable
+	// call.
 	ClaimKey string
 }
 
-// Names of the values of a CallContext.
+// Names of the values of a CallContext in the header.
 const (
 	nameService   = "service"
 	nameRequest   = "request"
@@ -46,7 +46,7 @@
 	nameClaimKey  = "claim"
 )
 
-// Write sets the header of the call.
+// Write sets HeaderCall.
 func (c *CallContext) Write(header http.Header) {
 	list := newListWriter()
 	list.addText(nameService, c.Service)
@@ -62,7 +62,7 @@
 	header[HeaderCall] = []string{list.String()}
 }
 
-// ReadCallContext reads the header of a call. What is missing or malformed is zero.
+// ReadCallContext reads HeaderCall. Missing and malformed values are zero.
 func ReadCallContext(header http.Header) CallContext {
 	var c CallContext
 	readList(header.Get(HeaderCall), func(name, value string) {
@@ -74,15 +74,15 @@
 		case nameAttempt:
 			c.Attempt = value
 		case namePriority:
-			c.Priority = int(numberOf(value))
+			c.Priority = int(parseNumber(value))
 		case nameRemaining:
-			c.Remaining = time.Duration(numberOf(value)) * time.Microsecond
+			c.Remaining = time.Duration(parseNumber(value)) * time.Microsecond
 		case nameBudget:
-			c.Budget = int(numberOf(value))
+			c.Budget = int(parseNumber(value))
 		case nameHops:
-			c.Hops = int(numberOf(value))
+			c.Hops = int(parseNumber(value))
 		case nameTarget:
-			c.Target = time.Duration(numberOf(value)) * time.Millisecond
+			c.Target = time.Duration(parseNumber(value)) * time.Millisecond
 		case nameRepeat:
 			c.Repeat = value == "1"
 		case nameClaimKey:
--- a/wire/context_test.go
+++ b/wire/context_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-func TestCallContextComesThroughWhole(t *testing.T) {
+func TestCallContextRoundTrip(t *testing.T) {
 	for name, sent := range map[string]CallContext{
-		"everything": {
+		"all fields": {
 			Service: "a=b, c&d/é", Request: "r-1", Attempt: "a-1", Priority: 1023, Remaining: 1500 * time.Microsecond,
 			Budget: 8, Hops: 21, Target: 300 * time.Millisecond, Repeat: true, ClaimKey: "00ff",
 		},
-		"little":  {Service: "s", Request: "r", Attempt: "a", Remaining: time.Second},
-		"nothing": {},
+		"some fields": {Service: "s", Request: "r", Attempt: "a", Remaining: time.Second},
+		"no fields":   {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -27,14 +27,14 @@
 	}
 }
 
-func TestReportComesThroughWhole(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	for name, sent := range map[string]Report{
-		"everything": {
+		"all fields": {
 			Attempt: "a-1", Unspent: 3, Level: 900, Pressure: 12.5, LoadKnown: true, Load: 1.4,
 			Faults: 0.12, Inherited: true, Leaving: true, Replayed: true,
 		},
-		"no load is known": {Attempt: "a"},
-		"nothing":          {},
+		"unknown load": {Attempt: "a"},
+		"no fields":    {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestAnIdleNodeTellsItsLoad: no load is something else than nothing told.
-func TestAnIdleNodeTellsItsLoad(t *testing.T) {
+// TestReportZeroLoad guards against reading the load of an idle node as unknown.
+func TestReportZeroLoad(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{}
 	sent := Report{Attempt: "a", LoadKnown: true}
@@ -55,8 +55,9 @@
 	is.True(got.LoadKnown && got.Load <= 0.01)
 }
 
-// TestWhatIsNotUnderstoodIsPassedOver, as a newer process may tell more.
-func TestWhatIsNotUnderstoodIsPassedOver(t *testing.T) {
+// TestReadSkipsUnknownValues guards against failing on values from a newer process or on
+// malformed ones.
+func TestReadSkipsUnknownValues(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{HeaderCall: {"new=1,,=,priority,service=%zz,priority=x,hops=2,left=-"}}
 	is.Equal(ReadCallContext(header), CallContext{Hops: 2})
--- a/wire/dialect.go
+++ b/wire/dialect.go
@@ -6,53 +6,56 @@
 	"time"
 )
 
-// Dialect names the headers in which callers and back ends speak of what
-// loomcleat needs to know. An empty name: they do not speak of it. The zero
-// Dialect is that of plain HTTP.
+// Dialect holds the names of the headers with which callers and back ends exchange metadata
+// with loomcleat. An empty name means that they do not use such a header. The zero Dialect
+// is that of plain HTTP.
 type Dialect struct {
-	// RequestID is the caller's name for one request. It is passed on, and each
-	// answer of a back end must carry it back.
+	// RequestID holds the caller's ID of one request. It is forwarded, and each answer of
+	// a back end must contain it.
 	RequestID string
-	// Remaining is the time that the caller will wait, in whole milliseconds.
-	// It is set anew on each request to a back end.
+	// Remaining holds the time that the caller still waits, in whole milliseconds. It is
+	// set to the current value on each request to a back end.
 	Remaining string
-	// CallerService is set on requests to back ends: the service that is next
-	// to where the request began.
+	// CallerService is set on requests to back ends. It holds the service of the process
+	// that received the call first, for a back end's call that of the calling back end.
 	CallerService string
-	// ExpectInstance is set on requests to back ends: the only incarnation that
-	// may run the request.
+	// ExpectInstance is set on requests to back ends. It holds the ID of the only
+	// incarnation that may run the request.
 	ExpectInstance string
-	// Instance is, on answers of back ends, the incarnation that answers.
+	// Instance is set on answers of back ends. It holds the ID of the incarnation that
+	// answered.
 	Instance string
-	// NotRun is, on answers of back ends, the promise that the request was not
-	// run and will not be.
+	// NotRun is set on answers of back ends. It guarantees that the request was not run
+	// and will not be.
 	NotRun string
-	// Credential is the header in which callers present the key of their tenant. It is
-	// never passed on. Default HeaderAPIKey.
+	// Credential holds the API key of the caller's tenant. It is never forwarded. Default
+	// HeaderAPIKey.
 	Credential string
-	// Tenant is set on requests to back ends: the name of the tenant that the caller
-	// speaks for. Default HeaderTenant.
+	// Tenant is set on requests to back ends. It holds the name of the caller's tenant.
+	// Default HeaderTenant.
 	Tenant string
-	// FractionalRetryAfter says that callers understand fractions of a second in the
+	// FractionalRetryAfter is true if callers accept fractions of a second in the
 	// Retry-After header.
 	FractionalRetryAfter bool
-	// ReadLoad reads what a back end tells of its load with an answer, nil when it
-	// tells nothing, an error when it makes no sense. Nil: back ends tell nothing.
+	// ReadLoad reads the load that a back end reports with an answer. It returns nil if
+	// none is reported, and an error if the report is invalid. Nil: back ends report no
+	// load.
 	ReadLoad func(header http.Header) (*BackEndLoad, error)
-	// ParentID guesses from the name of a request the name of the one that it
-	// was made for. Nil: requests do not show it. A guess only links requests
-	// that meet at one node; nothing may depend on it.
+	// ParentID derives the ID of a request's parent request from the request's ID. Nil:
+	// IDs do not contain the parent's. The result is a guess. It may be used to link
+	// requests that meet at one node, but correctness must not depend on it.
 	ParentID func(requestID string) (parentID string, ok bool)
 }
 
-// BackEndLoad is the load that a back end tells of itself. It may lag or mislead.
+// BackEndLoad is the load that a back end reports. It may be late or wrong.
 type BackEndLoad struct {
-	Running int // requests that it works on
-	Waiting int // requests in its own queue
-	Slots   int // requests that it works on at a time
+	Running int // requests that the back end is running
+	Waiting int // requests in the back end's own queue
+	Slots   int // requests that the back end can run concurrently
 }
 
-// Share returns what runs and waits as a share of the slots, 0 when they are not known.
+// Share returns running and waiting requests as a share of the slots, 0 if the number of
+// slots is unknown.
 func (l BackEndLoad) Share() float64 {
 	if l.Slots <= 0 {
 		return 0
@@ -60,8 +63,8 @@
 	return float64(l.Running+l.Waiting) / float64(l.Slots)
 }
 
-// TakeCredential removes what a caller says of its tenant and returns the key that it
-// presents, "" when it presents none or more than one.
+// TakeCredential removes the credential and tenant headers that a caller sent. It returns
+// the caller's API key, "" if there is none or more than one.
 func (d *Dialect) TakeCredential(header http.Header) string {
 	name := orDefault(d.Credential, HeaderAPIKey)
 	keys := header.Values(name)
@@ -73,29 +76,29 @@
 	return keys[0]
 }
 
-// WriteTenant tells a back end for which tenant a request is.
+// WriteTenant sets the tenant header of a request to a back end.
 func (d *Dialect) WriteTenant(header http.Header, tenant string) {
 	header.Set(orDefault(d.Tenant, HeaderTenant), tenant)
 }
 
-// ReadTenant returns the name of the tenant that another process found a request to be
-// for, "" when it is for none.
+// ReadTenant returns the tenant's name that another process set on a request, "" if there is
+// none.
 func (d *Dialect) ReadTenant(header http.Header) string {
 	return header.Get(orDefault(d.Tenant, HeaderTenant))
 }
 
-func orDefault(name, standard string) string {
+func orDefault(name, fallback string) string {
 	if name == "" {
-		return standard
+		return fallback
 	}
 	return name
 }
 
-// HasRequestID reports whether requests have names.
+// HasRequestID reports whether callers give their requests IDs.
 func (d *Dialect) HasRequestID() bool { return d.RequestID != "" }
 
-// ReadRemaining returns the time that the caller will wait, and false when it
-// does not say.
+// ReadRemaining returns the time that the caller still waits, and false if the header is
+// missing or invalid.
 func (d *Dialect) ReadRemaining(header http.Header) (time.Duration, bool) {
 	if d.Remaining == "" {
 		return 0, false
@@ -107,18 +110,18 @@
 	return time.Duration(milliseconds) * time.Millisecond, true
 }
 
-// maximumRemaining bounds what a caller may say of the time that it will wait.
+// maximumRemaining is the longest remaining time that is accepted from a caller.
 const maximumRemaining = 24 * time.Hour
 
-// WriteRemaining sets the time that is left. It rounds down, so that a back end
-// never gets more than there is.
+// WriteRemaining sets the remaining time. It rounds down, so that a back end never receives
+// more time than is left.
 func (d *Dialect) WriteRemaining(header http.Header, left time.Duration) {
 	if d.Remaining != "" {
 		header.Set(d.Remaining, strconv.FormatInt(max(left.Milliseconds(), 0), 10))
 	}
 }
 
-// IsNotRun reports whether a back end promises that it did not run the request.
+// IsNotRun reports whether a back end's answer guarantees that the request was not run.
 func (d *Dialect) IsNotRun(answer *http.Response) bool {
 	if d.NotRun == "" {
 		return false
--- a/wire/dialect_test.go
+++ b/wire/dialect_test.go
@@ -33,10 +33,11 @@
 	}
 	is := is.New(t)
 	_, ok := (&Dialect{}).ReadRemaining(http.Header{"Left": {"5"}})
-	is.True(!ok) // this dialect does not speak of time
+	is.True(!ok) // this dialect has no such header
 }
 
-func TestWriteRemainingNeverGivesMoreThanThereIs(t *testing.T) {
+// TestWriteRemainingRoundsDown guards against sending a back end more time than is left.
+func TestWriteRemainingRoundsDown(t *testing.T) {
 	is := is.New(t)
 	dialect := Dialect{Remaining: "Left"}
 	header := http.Header{}
@@ -51,10 +52,10 @@
 		keys []string
 		want string
 	}{
-		"none":     {nil, ""},
-		"one":      {[]string{"k"}, "k"},
-		"two":      {[]string{"k", "l"}, ""},
-		"an empty": {[]string{""}, ""},
+		"no key":    {nil, ""},
+		"one key":   {[]string{"k"}, "k"},
+		"two keys":  {[]string{"k", "l"}, ""},
+		"empty key": {[]string{""}, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -12,9 +12,9 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// TestMessagesBetweenProcesses: processes of two versions run beside each other while a
-// mesh is replaced machine by machine, so that each must read what the other writes.
-func TestMessagesBetweenProcesses(t *testing.T) {
+// TestMessageFormats guards against changes to the JSON messages. Processes of two versions
+// must understand each other while a mesh is upgraded machine by machine.
+func TestMessageFormats(t *testing.T) {
 	for file, check := range map[string]func(*testing.T, string){
 		"gossip.jsonl":            golden.Message[wire.Envelope],
 		"revisions.jsonl":         golden.Message[wire.Revisions],
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestNumbersInMessages: the values of fields that are written as numbers.
-func TestNumbersInMessages(t *testing.T) {
+// TestEnumValues guards against changes to enumeration values that are sent as numbers.
+func TestEnumValues(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		got  int
@@ -52,27 +52,28 @@
 		{"a member is suspected", int(membership.Suspect), 1},
 		{"a member is dead", int(membership.Dead), 2},
 		{"gossip: ping", int(membership.Ping), 0},
-		{"gossip: ping through another", int(membership.PingThrough), 1},
+		{"gossip: indirect ping", int(membership.PingThrough), 1},
 		{"gossip: updates only", int(membership.Gossip), 2},
 		{"gossip: compare lists", int(membership.Sync), 3},
 		{"claim granted", int(claims.Granted), 0},
 		{"claim held", int(claims.Held), 1},
 		{"claim at an old epoch", int(claims.Stale), 2},
-		{"claim at an epoch not known yet", int(claims.Behind), 3},
+		{"claim at an unknown epoch", int(claims.Behind), 3},
 		{"claim while claims are collected", int(claims.Syncing), 4},
-		{"claim beyond the memory", int(claims.Full), 5},
-		{"run not known", int(wire.RunUnknown), 0},
-		{"run given up", int(wire.RunNeverRan), 1},
+		{"claim while the memory is full", int(claims.Full), 5},
+		{"run unknown", int(wire.RunUnknown), 0},
+		{"run abandoned", int(wire.RunNeverRan), 1},
 		{"run active", int(wire.RunActive), 2},
 		{"run finished", int(wire.RunFinished), 3},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s is %d, not %d", c.name, c.got, c.want)
+			t.Errorf("%s: got %d, want %d", c.name, c.got, c.want)
 		}
 	}
 }
 
-func TestNamesOnTheWire(t *testing.T) {
+// TestWireNames guards against changes to the names of headers, paths and documents.
+func TestWireNames(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{wire.Prefix, "Loomcleat-"},
 		{wire.HeaderContext, "Loomcleat-Context"},
@@ -100,13 +101,14 @@
 		{string(wire.DocumentGroups), "claim-groups"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%q must stay %q", c.got, c.want)
+			t.Errorf("got %q, want %q", c.got, c.want)
 		}
 	}
 }
 
-// TestHeadersOfCallsAndAnswers: the lists of named values, with their units.
-func TestHeadersOfCallsAndAnswers(t *testing.T) {
+// TestHeaderFormats guards against changes to the names and units in HeaderCall and
+// HeaderReport.
+func TestHeaderFormats(t *testing.T) {
 	is := is.New(t)
 	call, report := golden.Filled[wire.CallContext](), golden.Filled[wire.Report]()
 	header := http.Header{}
--- a/wire/headers.go
+++ b/wire/headers.go
@@ -1,9 +1,11 @@
-// Package wire defines what loomcleat processes say to each other: HTTP header
-// names on forwarded requests and JSON messages on the control listener.
+// Package wire defines the protocol between loomcleat processes: the HTTP headers of
+// forwarded requests and their answers, and the JSON messages of the control listener. It
+// also defines the headers exchanged with callers and back ends (Dialect). It has no state.
+// The messages contain types of the packages whose data they carry.
 //
-// Headers with the internal prefix are removed from everything that callers
-// and back ends send, with one exception: HeaderContext, which a back end
-// copies from the request it serves to the calls it makes.
+// Headers with the internal prefix are removed from all requests of callers and all
+// answers of back ends. The exception is HeaderContext, which a back end copies from the
+// request that it serves to the calls that it makes.
 package wire
 
 import (
@@ -11,41 +13,42 @@
 	"strings"
 )
 
-// Prefix starts the name of every internal header, in canonical form.
+// Prefix is the prefix of all internal header names, in canonical form.
 const Prefix = "Loomcleat-"
 
 // Headers on requests between processes.
 const (
-	// HeaderContext is given to a back end with each request. The back end
-	// copies it to the calls it makes, as it does with traceparent.
+	// HeaderContext is set on each request to a back end. The back end copies it to the
+	// calls that it makes, as it does with traceparent.
 	HeaderContext = "Loomcleat-Context"
 	// HeaderCall holds the CallContext of a call from one process to another.
 	HeaderCall = "Loomcleat-Call"
 )
 
-// HeaderReport holds, on answers between processes, the Report of the one that answers.
+// HeaderReport holds the Report of the answering process. It is set on answers between
+// processes.
 const HeaderReport = "Loomcleat-Report"
 
-// HeaderIdempotencyKey is the caller's name for a request that may run at most
-// once (draft-ietf-httpapi-idempotency-key-header).
+// HeaderIdempotencyKey holds the caller's ID of a request that may run at most once
+// (draft-ietf-httpapi-idempotency-key-header).
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// Headers about tenants, where a Dialect names no others.
+// Default names of the headers for tenants; see Dialect.
 const (
-	// HeaderAPIKey holds the key that a caller presents.
+	// HeaderAPIKey holds the caller's API key.
 	HeaderAPIKey = "X-Api-Key"
-	// HeaderTenant tells a back end the tenant's name.
+	// HeaderTenant holds the name of the caller's tenant, on requests to back ends.
 	HeaderTenant = "Tenant-Name"
 )
 
-// hopByHop are the headers that RFC 9110 section 7.6.1 binds to one connection.
+// hopByHop lists the headers that apply to one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop deletes the headers of one connection, including those that
-// the Connection header names.
+// RemoveHopByHop deletes the headers that apply to one connection only, including those
+// listed in the Connection header.
 func RemoveHopByHop(header http.Header) {
 	for _, list := range header["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/wire/list.go
+++ b/wire/list.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// What processes tell each other about one call stands in one header, as a list of
-// named values: "service=booking,left=250000,hops=2". One header of many values costs
-// less to write, to read and to send than a header for each, and can still be read in
-// a dump of the traffic. What is 0 or empty is left out, and unknown names are
-// ignored, so that processes of two versions understand each other.
+// The metadata of a call is sent in one header, as a list of named values:
+// "service=booking,left=250000,hops=2". One header with many values is cheaper to write,
+// read and send than one header per value, and is still readable in a traffic dump. Zero
+// and empty values are left out and unknown names are ignored, so that processes of
+// different versions are compatible.
 
-// listWriter writes such a list.
+// listWriter writes a list of named values.
 type listWriter struct {
 	text strings.Builder
 }
 
-// listSize is the length that most lists stay below, in bytes.
+// listSize is the initial capacity for a list, in bytes. Most lists are shorter.
 const listSize = 160
 
 func newListWriter() *listWriter {
@@ -52,13 +52,12 @@
 
 func (w *listWriter) String() string { return w.text.String() }
 
-// readList calls take with each named value of a list. Parts that can't be read are passed
-// over, as unknown names are.
-func readList(text string, take func(name, value string)) {
+// readList calls visit with each named value of a list. It skips malformed elements.
+func readList(text string, visit func(name, value string)) {
 	for text != "" {
-		var part string
-		part, text, _ = strings.Cut(text, ",")
-		name, escaped, found := strings.Cut(part, "=")
+		var element string
+		element, text, _ = strings.Cut(text, ",")
+		name, escaped, found := strings.Cut(element, "=")
 		if !found {
 			continue
 		}
@@ -66,13 +65,12 @@
 		if err != nil {
 			continue
 		}
-		take(name, value)
+		visit(name, value)
 	}
 }
 
-// numberOf reads a whole number. Processes write nothing else; what can't be read counts
-// as left out, as unknown names do.
-func numberOf(text string) int64 {
+// parseNumber parses an integer. A malformed number counts as left out, that is, as 0.
+func parseNumber(text string) int64 {
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -18,32 +18,33 @@
 	PathLeave      = "/v1/leave"
 )
 
-// DocumentName names a document that is spread over the mesh.
+// DocumentName is the name of a document that is distributed to all processes.
 type DocumentName string
 
-// Documents.
+// Names of the documents.
 const (
 	DocumentPolicy DocumentName = "policy"
 	DocumentGroups DocumentName = "claim-groups"
 )
 
-// Revisions are the revisions of the spread documents that a process has.
+// Revisions holds the revisions of a process's copies of the distributed documents.
 type Revisions struct {
 	Policy uint64 `json:"policy,omitempty"`
 	Groups uint64 `json:"groups,omitempty"`
-	// Confirmed says that the policy is known to be as new as that of the store
-	// or of another process since the start.
+	// Confirmed is true if, at some time since the process started, its policy was known
+	// to be as new as the store's or as that of a confirmed peer.
 	Confirmed bool `json:"confirmed,omitempty"`
-	// Age is how long ago the sender knew that its policy was the newest one, in
-	// milliseconds, at least 1. 0: it never did.
+	// Age is the time since the sender last knew that its policy was the newest one, in
+	// milliseconds, at least 1. 0: it never knew.
 	Age int64 `json:"age,omitempty"`
-	// ProvenAge is the longest time ago at which the sender's policy was the newest
-	// one, in milliseconds, at least 1. 0: it has no proof. Only a process that had
-	// asked for it may go by it, from the time at which it asked.
+	// ProvenAge is an upper bound on the time since the sender's policy was certainly the
+	// newest one, in milliseconds, at least 1. 0: the sender has no proof. It is valid
+	// only in an answer, and the receiver must count from the time at which it sent its
+	// request.
 	ProvenAge int64 `json:"proven,omitempty"`
 }
 
-// Of returns the revision of one document.
+// Of returns the revision of the document with the given name.
 func (r Revisions) Of(name DocumentName) uint64 {
 	if name == DocumentGroups {
 		return r.Groups
@@ -51,18 +52,18 @@
 	return r.Policy
 }
 
-// Envelope is the message between two processes on PathGossip, and its answer.
+// Envelope is the message on PathGossip and its answer.
 type Envelope struct {
 	Membership membership.Message `json:"membership"`
 	Revisions  Revisions          `json:"revisions"`
-	// Quarantine is a digest of the crashes that the sender knows of, 0 for none.
+	// Quarantine is a digest of the back-end crashes known to the sender, 0 for none.
 	Quarantine uint64 `json:"quarantine,omitempty"`
 }
 
-// Crashes tells what is known of crashes of back ends on PathQuarantine, and lies in the
-// store for requests that are in quarantine.
+// Crashes is the message on PathQuarantine with the known crashes of back ends. The same
+// format is kept in the store for quarantined requests.
 type Crashes struct {
-	// From is the id of the process that tells them, "" in the store.
+	// From is the ID of the sender, "" in the store.
 	From    string             `json:"from,omitempty"`
 	Crashes []quarantine.Crash `json:"crashes"`
 }
@@ -74,33 +75,34 @@
 	Confirmed bool   `json:"confirmed"` // see Revisions
 }
 
-// QuotaReport tells the coordinator of quotas what a process admitted.
+// QuotaReport is the message on PathQuota: a process reports its admitted requests to the
+// coordinator of quotas.
 type QuotaReport struct {
 	Report    quota.Report `json:"report"`
 	Revisions Revisions    `json:"revisions"`
 }
 
-// QuotaAnswer is the answer.
+// QuotaAnswer is the coordinator's answer to a QuotaReport.
 type QuotaAnswer struct {
 	Answer    quota.Answer `json:"answer"`
 	Revisions Revisions    `json:"revisions"`
 }
 
-// Tenants is the answer on PathTenants: what one process knows of the quotas.
+// Tenants is the answer on PathTenants: the quotas as known to one process.
 type Tenants struct {
 	ID     string        `json:"id"`
-	CutOff bool          `json:"cut_off"` // it keeps to equal shares, since nobody answers
+	CutOff bool          `json:"cut_off"` // no coordinator answers, so the process admits equal shares
 	Quotas []quota.State `json:"quotas"`
 }
 
 // Empty is a message without content.
 type Empty struct{}
 
-// Leave tells a process that the machine list shows its machine as leaving.
+// Leave is the message on PathLeave: the machine list shows the receiver's machine as
+// leaving.
 type Leave struct{}
 
-// Status is the answer on PathStatus: what one process knows of itself and of
-// the mesh.
+// Status is the answer on PathStatus: the state of one process and its view of the mesh.
 type Status struct {
 	ID        string              `json:"id"`
 	Role      string              `json:"role"`
--- a/wire/report.go
+++ b/wire/report.go
@@ -2,37 +2,37 @@
 
 import "net/http"
 
-// Report is what a node tells the calling process with each answer.
+// Report is the metadata that a node sends to the calling process with each answer.
 type Report struct {
-	// Attempt is that of the call's context.
+	// Attempt is the value of CallContext.Attempt.
 	Attempt string
-	// Unspent is the part of the lent retries that was not used.
+	// Unspent is the number of delegated retries (CallContext.Budget) that were not used.
 	Unspent int
-	// Level is the lowest priority that the node and everything it called for this
-	// request would admit now, 0 to 1024.
+	// Level is the lowest priority that would be admitted now by the node and by all
+	// nodes that it called for this request, 0 to 1024.
 	Level int
-	// Pressure is the highest pressure that the request met at this node or below: the
-	// time waited for a slot as a multiple of what it should be. Sent in whole percent,
-	// as the shares below.
+	// Pressure is the highest pressure that the request encountered at this node or at the
+	// nodes below it: the time waited for a slot as a multiple of the policy's queue time.
+	// It is sent in whole percent, as are Load and Faults.
 	Pressure float64
-	// LoadKnown says that the node has told its load.
+	// LoadKnown is true if the node reported its load.
 	LoadKnown bool
-	// Load is the load of the node: the requests that its back end works on or that
-	// wait, as a share of those that it works on at a time.
+	// Load of the node: running and waiting requests, as a share of the requests that its
+	// back end runs concurrently.
 	Load float64
-	// Faults is the share of requests that the back end failed by itself lately:
-	// lost or spoiled answers, and failures of its own.
+	// Faults is the share of recent requests that failed through the back end's own fault:
+	// answers that were lost or malformed, and failures of the back end itself.
 	Faults float64
-	// Inherited says that the answer is a failure of the back end after a call of its
-	// own had failed, so that it says nothing about the back end.
+	// Inherited is true if the back end failed because a call of its own had failed. The
+	// answer is then no evidence of a fault of the back end.
 	Inherited bool
-	// Leaving says that the answering node is stopping.
+	// Leaving is true if the answering node is stopping.
 	Leaving bool
-	// Replayed says that the answer is the stored one of an earlier run.
+	// Replayed is true if the answer was stored by an earlier run.
 	Replayed bool
 }
 
-// Names of the values of a Report, beside those of a CallContext.
+// Names of the values of a Report in the header. It also uses nameAttempt.
 const (
 	nameUnspent   = "unspent"
 	nameLevel     = "level"
@@ -44,25 +44,25 @@
 	nameReplayed  = "replayed"
 )
 
-// Write sets the header of the answer.
+// Write sets HeaderReport.
 func (r *Report) Write(header http.Header) {
 	list := newListWriter()
 	list.addText(nameAttempt, r.Attempt)
 	list.addNumber(nameUnspent, int64(r.Unspent))
 	list.addNumber(nameLevel, int64(r.Level))
-	list.addNumber(namePressure, inPercent(r.Pressure))
+	list.addNumber(namePressure, toPercent(r.Pressure))
 	if r.LoadKnown {
-		// An idle node tells so, unlike one that has nothing to tell.
-		list.addNumber(nameLoad, max(inPercent(r.Load), 1))
+		// A load of 0 is left out of the list, so that an idle node sends at least 1.
+		list.addNumber(nameLoad, max(toPercent(r.Load), 1))
 	}
-	list.addNumber(nameFaults, inPercent(r.Faults))
+	list.addNumber(nameFaults, toPercent(r.Faults))
 	list.addFlag(nameInherited, r.Inherited)
 	list.addFlag(nameLeaving, r.Leaving)
 	list.addFlag(nameReplayed, r.Replayed)
 	header[HeaderReport] = []string{list.String()}
 }
 
-// ReadReport reads the header of an answer. What is missing or malformed is zero.
+// ReadReport reads HeaderReport. Missing and malformed values are zero.
 func ReadReport(header http.Header) Report {
 	var r Report
 	readList(header.Get(HeaderReport), func(name, value string) {
@@ -70,16 +70,16 @@
 		case nameAttempt:
 			r.Attempt = value
 		case nameUnspent:
-			r.Unspent = int(numberOf(value))
+			r.Unspent = int(parseNumber(value))
 		case nameLevel:
-			r.Level = int(numberOf(value))
+			r.Level = int(parseNumber(value))
 		case namePressure:
-			r.Pressure = fromPercent(numberOf(value))
+			r.Pressure = fromPercent(parseNumber(value))
 		case nameLoad:
-			r.Load = fromPercent(max(numberOf(value), 0))
+			r.Load = fromPercent(max(parseNumber(value), 0))
 			r.LoadKnown = r.Load > 0
 		case nameFaults:
-			r.Faults = fromPercent(numberOf(value))
+			r.Faults = fromPercent(parseNumber(value))
 		case nameInherited:
 			r.Inherited = value == "1"
 		case nameLeaving:
@@ -91,11 +91,10 @@
 	return r
 }
 
-// percent is the number of percent in a whole.
 const percent = 100
 
-// inPercent returns a share in whole percent, rounded down.
-func inPercent(share float64) int64 { return int64(percent * share) }
+// toPercent converts a share into whole percent, rounded down.
+func toPercent(share float64) int64 { return int64(percent * share) }
 
-// fromPercent returns the share that a number of percent is.
+// fromPercent converts a number of percent into a share.
 func fromPercent(number int64) float64 { return float64(number) / percent }
