--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,5 +1,5 @@
-// Package deploy holds the deploy file of the users' platform and the template of the
-// settings that the platform fills in.
+// Package deploy holds the deploy file for the platform and the settings template that the
+// platform fills in.
 package deploy
 
 import (
@@ -11,8 +11,9 @@
 	"github.com/loomcleat/loomcleat/internal/golden"
 )
 
-// TestDeployFilesStay: the platform reads both, and its operators copy them.
-func TestDeployFilesStay(t *testing.T) {
+// TestDeployFilesUnchanged guards against accidental changes to the deploy files, which the
+// platform reads and operators copy.
+func TestDeployFilesUnchanged(t *testing.T) {
 	for _, file := range []string{"system.toml", "node.yaml"} {
 		is := is.New(t)
 		content, err := os.ReadFile(file)
