--- a/wire/report.go
+++ b/wire/report.go
@@ -52,7 +52,7 @@
 	list.addNumber(nameLevel, int64(r.Level))
 	list.addNumber(namePressure, toPercent(r.Pressure))
 	if r.LoadKnown {
-		// A load of 0 is left out of the list, so that an idle node sends at least 1.
+		// The list leaves out zeros, so an idle node sends 1% instead of 0.
 		list.addNumber(nameLoad, max(toPercent(r.Load), 1))
 	}
 	list.addNumber(nameFaults, toPercent(r.Faults))
