--- a/transport/exchange/client.go
+++ b/transport/exchange/client.go
@@ -16,16 +16,18 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// DialTimeout bounds the opening of a connection by the default Dial.
 	DialTimeout time.Duration
-	// MaximumIdle is the number of idle connections kept for each address. More
-	// save new connections under changing load, fewer save descriptors. 0: none.
+	// MaximumIdle is the number of idle connections kept for each address. A
+	// higher number avoids new connections under changing load; a lower one saves
+	// file descriptors. 0: none are kept.
 	MaximumIdle int
-	// IdleTimeout closes idle connections. It should be shorter than the idle
-	// timeout of the other side; one that the other side names in its Keep-Alive
-	// header goes first. 0: they are kept until the other side closes them.
+	// IdleTimeout is the time after which idle connections are closed. It should
+	// be shorter than the server's idle timeout. A shorter timeout in the server's
+	// Keep-Alive header takes precedence. 0: idle connections are kept until the
+	// server closes them.
 	IdleTimeout time.Duration
 }
 
-// Client exchanges requests for answers. It is safe for concurrent use.
+// Client sends requests over pooled connections. It is safe for concurrent use.
 type Client struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	idle pool
@@ -39,34 +41,32 @@
 	}
 	return &Client{
 		dial: dial,
-		idle: pool{most: config.MaximumIdle, timeout: config.IdleTimeout, byAddress: map[string][]*conn{}},
+		idle: pool{maximumIdle: config.MaximumIdle, timeout: config.IdleTimeout, byAddress: map[string][]*conn{}},
 	}
 }
 
-// Close closes idle connections. Exchanges that are under way go on.
+// Close closes idle connections. Exchanges in flight are not interrupted.
 func (c *Client) Close() { c.idle.close() }
 
 // Error is a failed exchange.
 type Error struct {
-	// Wrote says that a byte of the request was written, so that it may run.
+	// Wrote is true if any byte of the request was written, so the server may
+	// have executed it.
 	Wrote bool
-	// Err is the cause.
-	Err error
+	Err   error
 }
 
-// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("exchange: %v", e.Err) }
 
-// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Do sends a request to an address and returns its answer with the body open. The
-// body must be closed. When ctx ends before the body does, the connection is
-// closed, which tells the other side that nobody waits any more. An error is an
-// *Error.
+// Do sends a request to an address and returns the response, whose body the caller
+// must close. If ctx ends before the body has been read to its end, the connection
+// is closed, so the server can detect that the client no longer waits. Errors are
+// of type *Error.
 //
-// The request needs Body and ContentLength as http.Request.Write does, and
-// GetBody if its body can be opened again.
+// Body and ContentLength of the request must be set as for http.Request.Write, and
+// GetBody if the body can be opened again.
 func (c *Client) Do(ctx context.Context, address string, request *http.Request) (*http.Response, error) {
 	for {
 		used, err := c.connection(ctx, address)
@@ -85,7 +85,8 @@
 	}
 }
 
-// reopen makes a request ready to be written from its start.
+// reopen resets the body of a request to its start. It reports whether the request
+// can be written again.
 func reopen(request *http.Request) bool {
 	if request.Body == nil {
 		return true
@@ -101,7 +102,7 @@
 	return true
 }
 
-// connection returns an idle connection to an address, or a new one.
+// connection returns an idle connection to an address or opens a new one.
 func (c *Client) connection(ctx context.Context, address string) (*conn, error) {
 	if kept := c.idle.take(address); kept != nil {
 		return kept, nil
--- a/transport/exchange/client_test.go
+++ b/transport/exchange/client_test.go
@@ -20,24 +20,24 @@
 	"github.com/loomcleat/loomcleat/clock/clocktest"
 )
 
-// patience bounds each test.
-const patience = 10 * time.Second
+// exchangeTimeout bounds each exchange.
+const exchangeTimeout = 10 * time.Second
 
-// peer is the other side of a test: it serves each connection with a function and
-// counts connections.
-type peer struct {
+// testServer is a server that handles each connection with a function and counts
+// connections.
+type testServer struct {
 	address     string
 	connections atomic.Int64
 }
 
-func startPeer(t *testing.T, serve func(net.Conn, *bufio.Reader)) *peer {
+func startServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	p := &peer{address: listener.Addr().String()}
+	p := &testServer{address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -54,8 +54,8 @@
 	return p
 }
 
-// answerEach answers every request of a connection with the same text.
-func answerEach(text string) func(net.Conn, *bufio.Reader) {
+// respondToEach responds to every request of a connection with the same text.
+func respondToEach(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(reader)
@@ -85,10 +85,10 @@
 	return NewClient(Config{MaximumIdle: 2, IdleTimeout: time.Minute, DialTimeout: time.Second})
 }
 
-// read makes one exchange and reads the answer whole.
+// read makes one exchange and reads the complete response.
 func read(t *testing.T, client *Client, address string, request *http.Request) (string, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), exchangeTimeout)
 	defer cancel()
 	response, err := client.Do(ctx, address, request)
 	if err != nil {
@@ -99,45 +99,45 @@
 	return string(content), err
 }
 
-// TestWhichConnectionsServeAgain: a connection is kept only when nothing of the
-// exchange that it served can be taken for a part of the next one.
-func TestWhichConnectionsServeAgain(t *testing.T) {
+// TestConnectionReuse guards against reusing a connection on which leftover bytes
+// could be taken for the next response.
+func TestConnectionReuse(t *testing.T) {
 	cases := []struct {
 		name, method, answer, body string
 		connections                int64 // for two requests
 	}{
-		{"a body of known length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 1},
-		{"a chunked body", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "ok", 1},
-		{"an empty body", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 1},
+		{"known length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 1},
+		{"chunked body", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "ok", 1},
+		{"empty body", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "", 1},
 		{"no body", "GET", "HTTP/1.1 204 No Content\r\n\r\n", "", 1},
-		{"the answer to HEAD", "HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", "", 1},
-		{"an answer before the final one", "GET", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 1},
-		{"the other side closes", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", 2},
-		{"bytes behind the answer", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", "ok", 2},
-		{"bytes behind an empty answer", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nmore", "", 2},
+		{"response to HEAD", "HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", "", 1},
+		{"interim response", "GET", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "ok", 1},
+		{"server closes", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", 2},
+		{"surplus after body", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", "ok", 2},
+		{"surplus after empty body", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nmore", "", 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			other := startPeer(t, answerEach(c.answer))
+			server := startServer(t, respondToEach(c.answer))
 			client := newTestClient()
 			defer client.Close()
 			for range 2 {
-				body, err := read(t, client, other.address, newRequest(c.method, ""))
+				body, err := read(t, client, server.address, newRequest(c.method, ""))
 				is.NoErr(err)
 				is.Equal(body, c.body)
 			}
-			is.Equal(other.connections.Load(), c.connections)
+			is.Equal(server.connections.Load(), c.connections)
 		})
 	}
 }
 
-// TestSurplusThatComesLater: bytes that arrive while a connection is idle belong to
-// no request.
-func TestSurplusThatComesLater(t *testing.T) {
+// TestSurplusOnIdleConnection guards against reading bytes that arrived on an idle
+// connection as the response to the next request.
+func TestSurplusOnIdleConnection(t *testing.T) {
 	is := is.New(t)
 	surplus := make(chan struct{})
-	other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+	server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -146,23 +146,23 @@
 		<-surplus
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 		surplus <- struct{}{}
-		<-surplus // the connection stays open
+		<-surplus // keeps the connection open
 	})
 	client := newTestClient()
 	defer client.Close()
 	defer close(surplus)
-	_, err := read(t, client, other.address, newRequest("GET", ""))
+	_, err := read(t, client, server.address, newRequest("GET", ""))
 	is.NoErr(err)
 	surplus <- struct{}{}
 	<-surplus
-	good := startPeer(t, answerEach("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"))
-	// The pool's connection is replaced by one to the good peer: only a new
-	// connection can reach it.
+	good := startServer(t, respondToEach("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"))
+	// New connections go to the good peer, so its response shows that the pooled
+	// connection was not reused.
 	client.dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, good.address)
 	}
-	for { // loopback delivers soon
-		body, err := read(t, client, other.address, newRequest("GET", ""))
+	for { // the surplus may not have arrived yet
+		body, err := read(t, client, server.address, newRequest("GET", ""))
 		is.NoErr(err)
 		if body == "good" {
 			return
@@ -174,44 +174,45 @@
 func TestFailures(t *testing.T) {
 	cases := []struct {
 		name, answer string
-		inBody       bool // the failure comes while the body is read
+		inBody       bool // the failure occurs while the body is read
 	}{
-		{"no answer", "", false},
-		{"bytes that are no answer", "nonsense\r\n\r\n", false},
-		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", false},
-		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true},
-		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", true},
-		{"an endless head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maximumHead), false},
-		{"interim answers without end", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 2*maximumInterim), false},
+		{"no response", "", false},
+		{"not HTTP", "nonsense\r\n\r\n", false},
+		{"truncated head", "HTTP/1.1 200 OK\r\nContent-Le", false},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true},
+		{"truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", true},
+		{"head too long", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maximumHead), false},
+		{"too many interim responses", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 2*maximumInterim), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+			server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 				_, _ = http.ReadRequest(reader)
 				_, _ = io.WriteString(conn, c.answer)
 			})
 			client := newTestClient()
 			defer client.Close()
-			_, err := read(t, client, other.address, newRequest("GET", ""))
+			_, err := read(t, client, server.address, newRequest("GET", ""))
 			is.True(err != nil)
 			var failed *Error
 			is.Equal(errors.As(err, &failed), !c.inBody)
 			if failed != nil {
-				is.True(failed.Wrote) // it may have run
+				is.True(failed.Wrote) // the request was written
 			}
 		})
 	}
 }
 
-// TestAFailedBodyStaysFailed: a second read must not look like the end.
-func TestAFailedBodyStaysFailed(t *testing.T) {
+// TestBodyErrorPersists guards against a read after an error that returns io.EOF,
+// which would make a truncated body look complete.
+func TestBodyErrorPersists(t *testing.T) {
 	is := is.New(t)
-	other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+	server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 	})
-	response, err := newTestClient().Do(t.Context(), other.address, newRequest("GET", ""))
+	response, err := newTestClient().Do(t.Context(), server.address, newRequest("GET", ""))
 	is.NoErr(err)
 	_, err = io.ReadAll(response.Body)
 	is.True(err != nil)
@@ -220,8 +221,9 @@
 	is.NoErr(response.Body.Close())
 }
 
-// TestNobodyThere: nothing was written, so that nothing can have run.
-func TestNobodyThere(t *testing.T) {
+// TestConnectionRefused guards against reporting an unsent request as written,
+// which would forbid a retry.
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -232,16 +234,17 @@
 	is.True(!failed.Wrote)
 }
 
-// TestTheEndOfTheContextClosesTheConnection, before the answer and in its midst.
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+// TestContextEndClosesConnection guards against leaving the connection open when
+// the context ends before the response or while its body is read.
+func TestContextEndClosesConnection(t *testing.T) {
 	for name, answer := range map[string]string{
-		"before the answer": "",
-		"in the body":       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+		"before response": "",
+		"in body":         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			begun, closed := make(chan struct{}), make(chan struct{})
-			other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+			server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 				_, _ = http.ReadRequest(reader)
 				_, _ = io.WriteString(conn, answer)
 				close(begun)
@@ -257,7 +260,7 @@
 					cancel()
 				}()
 			}
-			response, err := client.Do(ctx, other.address, newRequest("GET", ""))
+			response, err := client.Do(ctx, server.address, newRequest("GET", ""))
 			if answer != "" {
 				is.NoErr(err)
 				cancel()
@@ -269,12 +272,13 @@
 	}
 }
 
-// TestAnAnswerBeforeALongBodyWasRead is delivered, and the connection serves no
-// other request: the rest of the body is still due on it.
-func TestAnAnswerBeforeALongBodyWasRead(t *testing.T) {
+// TestResponseBeforeRequestBodyEnds guards against waiting for the rest of a
+// request body once the response has arrived, and against reusing the connection
+// on which that rest is still to be written.
+func TestResponseBeforeRequestBodyEnds(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+	server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno")
 		<-hold
@@ -283,22 +287,22 @@
 	client := newTestClient()
 	defer client.Close()
 	for range 2 {
-		source, writer := io.Pipe() // a caller that never sends the rest
+		source, writer := io.Pipe() // the body never ends
 		defer writer.Close()
 		request := newRequest("POST", "")
 		request.Body, request.ContentLength = source, -1
-		body, err := read(t, client, other.address, request)
+		body, err := read(t, client, server.address, request)
 		is.NoErr(err)
 		is.Equal(body, "no")
 	}
-	is.Equal(other.connections.Load(), int64(2))
+	is.Equal(server.connections.Load(), int64(2))
 }
 
-// TestAnAnswerBeforeTheConnectionBroke is delivered although the request could not
-// be written whole.
-func TestAnAnswerBeforeTheConnectionBroke(t *testing.T) {
+// TestResponseBeforeServerCloses guards against losing a response that the server
+// sends before it closes the connection in the middle of a long request.
+func TestResponseBeforeServerCloses(t *testing.T) {
 	is := is.New(t)
-	other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+	server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		_, _ = http.ReadRequest(reader)
 		_, _ = io.WriteString(conn, "HTTP/1.1 413 Content Too Large\r\nContent-Length: 2\r\n\r\nno")
 		if tcp, ok := conn.(*net.TCPConn); ok {
@@ -307,18 +311,19 @@
 		_, _ = io.Copy(io.Discard, reader)
 	})
 	long := strings.Repeat("x", 1<<20)
-	body, err := read(t, newTestClient(), other.address, newRequest("POST", long))
+	body, err := read(t, newTestClient(), server.address, newRequest("POST", long))
 	is.NoErr(err)
 	is.Equal(body, "no")
 }
 
-// TestBodiesArriveWhole, short and long, of known and unknown length.
-func TestBodiesArriveWhole(t *testing.T) {
-	for _, size := range []int{1, writtenAtOnce, writtenAtOnce + 1, 1 << 20} {
+// TestRequestBodies guards against truncated request bodies, short and long, of
+// known and unknown length.
+func TestRequestBodies(t *testing.T) {
+	for _, size := range []int{1, maximumInlineBody, maximumInlineBody + 1, 1 << 20} {
 		for _, known := range []bool{true, false} {
 			is := is.New(t)
 			received := make(chan []byte, 1)
-			other := startPeer(t, func(conn net.Conn, reader *bufio.Reader) {
+			server := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 				request, err := http.ReadRequest(reader)
 				if err != nil {
 					return
@@ -332,31 +337,32 @@
 			if !known {
 				request.ContentLength = -1
 			}
-			_, err := read(t, newTestClient(), other.address, request)
+			_, err := read(t, newTestClient(), server.address, request)
 			is.NoErr(err)
 			is.True(bytes.Equal(<-received, sent))
 		}
 	}
 }
 
-// TestIdleConnectionsEnd at the earlier of both sides' times.
-func TestIdleConnectionsEnd(t *testing.T) {
+// TestIdleTimeout guards against keeping a connection beyond the shorter of the
+// configured timeout and the server's keep-alive timeout.
+func TestIdleTimeout(t *testing.T) {
 	cases := []struct {
 		name      string
 		timeout   time.Duration
 		keepAlive string
 		lifetime  time.Duration
 	}{
-		{"by the own time", time.Minute, "", time.Minute},
-		{"by the other side's time", time.Minute, "timeout=10, max=5", 8 * time.Second},
-		{"a longer time of the other side", time.Minute, "timeout=600", time.Minute},
-		{"nonsense", time.Minute, "timeout=soon", time.Minute},
-		{"neither", 0, "", forever},
+		{"configured", time.Minute, "", time.Minute},
+		{"shorter keep-alive", time.Minute, "timeout=10, max=5", 8 * time.Second},
+		{"longer keep-alive", time.Minute, "timeout=600", time.Minute},
+		{"malformed keep-alive", time.Minute, "timeout=soon", time.Minute},
+		{"none", 0, "", unlimitedLifetime},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p := &pool{most: 1, timeout: c.timeout, byAddress: map[string][]*conn{}}
+			p := &pool{maximumIdle: 1, timeout: c.timeout, byAddress: map[string][]*conn{}}
 			header := http.Header{}
 			if c.keepAlive != "" {
 				header.Set("Keep-Alive", c.keepAlive)
@@ -365,7 +371,7 @@
 			defer far.Close()
 			kept := &conn{Conn: near, address: "a"}
 			before := clock.Now()
-			p.put(kept, keepAliveOf(header))
+			p.put(kept, keepAliveTimeout(header))
 			is.True(kept.expires.Sub(before).Round(time.Second) == c.lifetime)
 		})
 	}
@@ -373,7 +379,7 @@
 
 func TestExpiredAndSurplusConnectionsAreClosed(t *testing.T) {
 	is := is.New(t)
-	p := &pool{most: 2, timeout: time.Minute, byAddress: map[string][]*conn{}}
+	p := &pool{maximumIdle: 2, timeout: time.Minute, byAddress: map[string][]*conn{}}
 	var ends []net.Conn
 	for range 3 {
 		near, far := net.Pipe()
@@ -382,7 +388,7 @@
 	}
 	is.Equal(len(p.byAddress["a"]), 2)
 	_, err := ends[2].Read(make([]byte, 1))
-	is.Equal(err, io.EOF) // there was no room for it
+	is.Equal(err, io.EOF) // the pool was full
 	p.byAddress["a"][0].expires = clock.Now().Add(-time.Second)
 	p.sweep()
 	is.Equal(len(p.byAddress["a"]), 1)
@@ -392,11 +398,11 @@
 	is.True(p.take("a") == nil)
 }
 
-// TestConnectionsExpireDuringASuspension: the other side has closed them meanwhile, or is
-// gone, and nothing has told so.
-func TestConnectionsExpireDuringASuspension(t *testing.T) {
+// TestConnectionsExpireDuringSuspension guards against reusing a connection that the
+// server closed while this machine was suspended.
+func TestConnectionsExpireDuringSuspension(t *testing.T) {
 	is := is.New(t)
-	p := &pool{most: 2, timeout: time.Minute, byAddress: map[string][]*conn{}}
+	p := &pool{maximumIdle: 2, timeout: time.Minute, byAddress: map[string][]*conn{}}
 	near, far := net.Pipe()
 	defer far.Close()
 	p.put(&conn{Conn: near, address: "a"}, 0)
--- a/transport/exchange/conn.go
+++ b/transport/exchange/conn.go
@@ -17,96 +17,96 @@
 	"github.com/loomcleat/loomcleat/clock"
 )
 
-// conn is a connection on which one exchange takes place at a time.
+// conn is a connection that carries one exchange at a time.
 type conn struct {
 	net.Conn
 	address string
 	pool    *pool
-	expires clock.Instant // while it is idle
-	served  int           // exchanges that have ended well
+	expires clock.Instant // set while the connection is idle
+	served  int           // successful exchanges
 
-	// Of the exchange that is under way.
-	written atomic.Int64  // bytes of the request
-	unread  int64         // bytes that may still be read before the body
-	reader  *bufio.Reader // nil between exchanges
-	release func() bool   // stops the watch on the context
-	sent    chan error    // outcome of writing the request aside, nil when it was written at once
+	// State of the exchange in flight.
+	written          atomic.Int64  // request bytes written
+	headBudget       int64         // remaining bytes allowed before the body
+	reader           *bufio.Reader // nil between exchanges
+	stopContextWatch func() bool   // unregisters the close on the end of the context
+	sent             chan error    // result of writing the request in the background; nil if it is written synchronously
 }
 
 // Bounds of an exchange.
 const (
-	// bufferSize is the size of the buffers of an exchange, in bytes. Most
-	// requests and answers fit.
+	// bufferSize is the size of the read and write buffers, in bytes. Most requests
+	// and responses fit.
 	bufferSize = 4 << 10
-	// writtenAtOnce is the longest body that is written before the answer is
-	// read, in bytes. Whoever receives a longer one may answer before it has
-	// read it, and must not be waited for.
-	writtenAtOnce = 8 << 10
-	// maximumHead bounds the status line and headers of an answer, in bytes.
+	// maximumInlineBody is the longest request body, in bytes, that is written before
+	// the response is read. Longer ones are written in the background, since the
+	// server may respond before it has read them.
+	maximumInlineBody = 8 << 10
+	// maximumHead bounds the status line and headers of a response, in bytes.
 	maximumHead = 1 << 20
-	// lastAnswerTime is how long an answer is waited for after the request could
-	// not be written whole: whoever closed the connection may have answered before.
-	lastAnswerTime = 100 * time.Millisecond
-	// maximumInterim bounds the answers before the final one, such as 100.
+	// finalReadTimeout is how long to wait for the response after writing the request
+	// failed: the server may have responded before it closed the connection.
+	finalReadTimeout = 100 * time.Millisecond
+	// maximumInterim bounds the number of interim (1xx) responses to a request.
 	maximumInterim = 8
 )
 
-// readers and writers are the buffers that idle connections do without.
+// readers and writers hold buffers, so that idle connections need none.
 var (
 	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, bufferSize) }}
 	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
 var (
-	errHeadTooLong = errors.New("the head of the answer is too long")
-	errInterim     = errors.New("too many answers before the final one")
+	errHeadTooLong = errors.New("status line and headers of the response exceed 1 MiB")
+	errInterim     = errors.New("8 interim responses without a final one")
 )
 
-// Read implements net.Conn and bounds what comes before the body.
+// Read implements net.Conn. It limits the number of bytes before the body.
 func (c *conn) Read(data []byte) (int, error) {
-	if c.unread <= 0 {
+	if c.headBudget <= 0 {
 		return 0, errHeadTooLong
 	}
 	n, err := c.Conn.Read(data)
-	c.unread -= int64(n)
+	c.headBudget -= int64(n)
 	return n, err
 }
 
-// Write implements net.Conn and counts the bytes of the request.
+// Write implements net.Conn. It counts the bytes of the request.
 func (c *conn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// exchange sends the request and reads the head of its answer. The connection
-// comes back to the pool at the end of the body; it is closed when the exchange
-// fails or ctx ends.
+// exchange sends the request and reads the head of the response. The connection
+// returns to the pool once the body has been read to its end. It is closed if the
+// exchange fails or ctx ends.
 func (c *conn) exchange(ctx context.Context, request *http.Request) (*http.Response, error) {
 	c.written.Store(0)
-	c.unread = maximumHead
+	c.headBudget = maximumHead
 	c.sent = nil
 	c.reader, _ = readers.Get().(*bufio.Reader)
 	c.reader.Reset(c)
-	c.release = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
+	c.stopContextWatch = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 	if err := c.send(request); err != nil {
-		c.abandon()
+		c.discard()
 		return nil, err
 	}
 	response, err := c.readHead(request)
 	if err != nil {
-		c.abandon()
+		c.discard()
 		return nil, err
 	}
-	c.unread = math.MaxInt64
-	response.Body = c.bodyOf(response)
+	c.headBudget = math.MaxInt64
+	response.Body = c.newBody(response)
 	return response, nil
 }
 
-// send writes the request: a short one at once, a long one beside the reading of
-// its answer.
+// send writes a short request synchronously and a long one in the background,
+// while the response is read.
 func (c *conn) send(request *http.Request) error {
-	if request.ContentLength >= 0 && request.ContentLength <= writtenAtOnce {
+	if request.ContentLength >= 0 && request.ContentLength <= maximumInlineBody {
 		return c.write(request)
 	}
 	sent := make(chan error, 1)
@@ -114,7 +114,7 @@
 	go func() {
 		err := c.write(request)
 		if err != nil {
-			_ = c.SetReadDeadline(time.Now().Add(lastAnswerTime))
+			_ = c.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		}
 		sent <- err
 	}()
@@ -134,7 +134,7 @@
 	return writer.Flush()
 }
 
-// readHead reads the head of the final answer.
+// readHead reads the head of the final response and skips interim ones.
 func (c *conn) readHead(request *http.Request) (*http.Response, error) {
 	for range maximumInterim {
 		response, err := http.ReadResponse(c.reader, request)
@@ -148,14 +148,14 @@
 	return nil, errInterim
 }
 
-// abandon closes the connection.
-func (c *conn) abandon() {
-	c.release()
+// discard closes the connection and releases its resources.
+func (c *conn) discard() {
+	c.stopContextWatch()
 	_ = c.Conn.Close()
 	c.freeReader()
 }
 
-// freeReader gives the buffer back.
+// freeReader returns the read buffer to its pool.
 func (c *conn) freeReader() {
 	if c.reader == nil {
 		return
@@ -165,12 +165,12 @@
 	c.reader = nil
 }
 
-// finish ends an exchange whose answer was read whole: the connection is kept if
-// it can serve another.
+// finish ends an exchange whose response was read completely. The connection
+// returns to the pool if it can be reused and is closed otherwise.
 func (c *conn) finish(reusable bool, keepAlive time.Duration) {
-	quiet := c.reader.Buffered() == 0 // bytes behind an answer belong to no request
-	if !c.release() || !reusable || !quiet || !c.sentWhole() {
-		c.abandon()
+	noSurplus := c.reader.Buffered() == 0 // surplus bytes could be taken for the next response
+	if !c.stopContextWatch() || !reusable || !noSurplus || !c.requestWritten() {
+		c.discard()
 		return
 	}
 	c.freeReader()
@@ -178,8 +178,8 @@
 	c.pool.put(c, keepAlive)
 }
 
-// sentWhole reports whether the request has been written whole.
-func (c *conn) sentWhole() bool {
+// requestWritten reports whether the request has been written completely.
+func (c *conn) requestWritten() bool {
 	if c.sent == nil {
 		return true
 	}
@@ -191,10 +191,11 @@
 	}
 }
 
-// bodyOf returns the body of an answer, which ends the exchange at its end.
-func (c *conn) bodyOf(response *http.Response) io.ReadCloser {
+// newBody returns the body of a response. The exchange ends when the body has been
+// read to its end or is closed.
+func (c *conn) newBody(response *http.Response) io.ReadCloser {
 	reusable := !response.Close && response.StatusCode != http.StatusSwitchingProtocols
-	keepAlive := keepAliveOf(response.Header)
+	keepAlive := keepAliveTimeout(response.Header)
 	if response.Body == http.NoBody {
 		c.finish(reusable, keepAlive)
 		return http.NoBody
@@ -202,11 +203,11 @@
 	return &body{ReadCloser: response.Body, conn: c, reusable: reusable, keepAlive: keepAlive}
 }
 
-// body is the body of an answer.
+// body is the body of a response.
 type body struct {
 	io.ReadCloser
 	conn      *conn // nil once the exchange has ended
-	end       error // of reading, once the exchange has ended
+	readErr   error // returned by Read once the exchange has ended
 	reusable  bool
 	keepAlive time.Duration
 }
@@ -214,41 +215,42 @@
 // Read implements io.Reader.
 func (b *body) Read(data []byte) (int, error) {
 	if b.conn == nil {
-		return 0, b.end
+		return 0, b.readErr
 	}
 	n, err := b.ReadCloser.Read(data)
 	if err == nil {
 		return n, nil
 	}
-	b.end = err
+	b.readErr = err
 	if errors.Is(err, io.EOF) {
 		b.conn.finish(b.reusable, b.keepAlive)
 	} else {
-		b.conn.abandon()
+		b.conn.discard()
 	}
 	b.conn = nil
 	return n, err
 }
 
-// Close implements io.Closer. A body that was not read to its end takes the
-// connection with it.
+// Close implements io.Closer. It closes the connection if the body was not read to
+// its end.
 func (b *body) Close() error {
 	if b.conn == nil {
 		return nil
 	}
-	b.end = http.ErrBodyReadAfterClose
-	b.conn.abandon()
+	b.readErr = http.ErrBodyReadAfterClose
+	b.conn.discard()
 	b.conn = nil
 	return nil
 }
 
-// keepAliveMargin is the share of the time that the other side keeps a connection
-// in which it is used here, since a request may be on its way when the time ends.
+// keepAliveMargin is the fraction of the server's keep-alive timeout during which
+// an idle connection is reused. The rest covers requests that are still in transit
+// when the timeout ends.
 const keepAliveMargin = 0.8
 
-// keepAliveOf returns how long the other side keeps an idle connection, 0 when it
-// does not say.
-func keepAliveOf(header http.Header) time.Duration {
+// keepAliveTimeout returns how long to keep an idle connection, from the timeout in the
+// Keep-Alive header, or 0 without one.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, list := range header["Keep-Alive"] {
 		for _, parameter := range strings.Split(list, ",") {
 			text, found := strings.CutPrefix(strings.TrimSpace(parameter), "timeout=")
--- a/transport/exchange/doc.go
+++ b/transport/exchange/doc.go
@@ -1,14 +1,13 @@
-// Package exchange is the client side of HTTP/1.1: it keeps connections and
-// exchanges one request for one answer on each at a time.
+// Package exchange is an HTTP/1.1 client for forwarded requests. It owns a pool
+// of idle connections and runs one request at a time on each connection.
+// Requests and responses are encoded and decoded by net/http.
 //
-// It stands in the place of http.Transport for forwarded requests, for two
-// reasons. That transport sends a request again by itself when a connection
-// that was idle turns out to be closed, which could run a request twice. And it
-// hands each request from goroutine to goroutine, one that writes and one that
-// reads for each connection; here the goroutine that serves a request writes it
-// and reads its answer itself. Encoding and decoding are those of net/http.
+// It replaces http.Transport for two reasons. http.Transport resends a request
+// by itself when a reused connection turns out to be closed, which could execute
+// the request twice. It also has a reading and a writing goroutine for each
+// connection; here the goroutine that serves a request writes it and reads the
+// response itself.
 //
-// A request is written at most once. The only exception is one of which no byte
-// has left, on a connection that was kept from an earlier request: it goes out on
-// another connection.
+// A request is sent again only if no byte of it was written and the connection
+// was a reused one; it then goes out on another connection.
 package exchange
--- a/transport/exchange/pool.go
+++ b/transport/exchange/pool.go
@@ -8,18 +8,18 @@
 	"github.com/loomcleat/loomcleat/transport/socket"
 )
 
-// pool keeps idle connections.
+// pool holds idle connections.
 type pool struct {
-	most    int           // for each address
-	timeout time.Duration // 0: none
+	maximumIdle int           // per address
+	timeout     time.Duration // 0: none
 
-	mutex     sync.Mutex
-	byAddress map[string][]*conn // the one that was used last stands last
-	sweeping  bool
+	mutex          sync.Mutex
+	byAddress      map[string][]*conn // most recently used last
+	sweepScheduled bool
 }
 
-// take removes the connection to an address that was used last, nil when there is
-// none that still works.
+// take removes and returns the most recently used connection to an address, or nil
+// if none is usable. It closes expired and broken connections.
 func (p *pool) take(address string) *conn {
 	for {
 		kept := p.pop(address)
@@ -45,25 +45,26 @@
 	return last
 }
 
-// forever stands for the end of connections that do not expire.
-const forever = 365 * 24 * time.Hour
+// unlimitedLifetime is the lifetime of idle connections without a timeout.
+const unlimitedLifetime = 365 * 24 * time.Hour
 
-// put keeps a connection whose exchange has ended, for the time that the other
-// side keeps it (0: it did not say).
+// put returns a connection to the pool after an exchange. keepAlive is the time
+// for which the server allows its reuse, 0 if unknown. The connection is closed if
+// the pool is full.
 func (p *pool) put(used *conn, keepAlive time.Duration) {
 	lifetime := p.timeout
 	if lifetime == 0 {
-		lifetime = forever
+		lifetime = unlimitedLifetime
 	}
 	if keepAlive > 0 {
 		lifetime = min(lifetime, keepAlive)
 	}
 	used.expires = clock.Now().Add(lifetime)
 	p.mutex.Lock()
-	full := len(p.byAddress[used.address]) >= p.most
+	full := len(p.byAddress[used.address]) >= p.maximumIdle
 	if !full {
 		p.byAddress[used.address] = append(p.byAddress[used.address], used)
-		p.sweepLater()
+		p.scheduleSweep()
 	}
 	p.mutex.Unlock()
 	if full {
@@ -71,17 +72,16 @@
 	}
 }
 
-// sweepShare is the part of the timeout after which expired connections are
-// looked for.
-const sweepShare = 4
+// sweepsPerTimeout is the number of sweeps for expired connections per idle timeout.
+const sweepsPerTimeout = 4
 
-// sweepLater has expired connections closed after a while. The mutex is held.
-func (p *pool) sweepLater() {
-	if p.sweeping || p.timeout == 0 {
+// scheduleSweep schedules a sweep unless one is scheduled. The caller holds the mutex.
+func (p *pool) scheduleSweep() {
+	if p.sweepScheduled || p.timeout == 0 {
 		return
 	}
-	p.sweeping = true
-	time.AfterFunc(p.timeout/sweepShare, p.sweep)
+	p.sweepScheduled = true
+	time.AfterFunc(p.timeout/sweepsPerTimeout, p.sweep)
 }
 
 // sweep closes expired connections.
@@ -89,14 +89,14 @@
 	now := clock.Now()
 	expired := []*conn{}
 	p.mutex.Lock()
-	p.sweeping = false
+	p.sweepScheduled = false
 	for address, kept := range p.byAddress {
 		alive := kept[:0]
-		for _, one := range kept {
-			if now < one.expires {
-				alive = append(alive, one)
+		for _, idle := range kept {
+			if now < idle.expires {
+				alive = append(alive, idle)
 			} else {
-				expired = append(expired, one)
+				expired = append(expired, idle)
 			}
 		}
 		clear(kept[len(alive):])
@@ -106,11 +106,11 @@
 		}
 	}
 	if len(p.byAddress) > 0 {
-		p.sweepLater()
+		p.scheduleSweep()
 	}
 	p.mutex.Unlock()
-	for _, one := range expired {
-		_ = one.Close()
+	for _, idle := range expired {
+		_ = idle.Close()
 	}
 }
 
@@ -121,8 +121,8 @@
 	p.byAddress = map[string][]*conn{}
 	p.mutex.Unlock()
 	for _, kept := range all {
-		for _, one := range kept {
-			_ = one.Close()
+		for _, idle := range kept {
+			_ = idle.Close()
 		}
 	}
 }
--- a/transport/socket/direct.go
+++ b/transport/socket/direct.go
@@ -11,7 +11,7 @@
 )
 
 // Wrap returns a connection that reads and writes the socket of conn directly.
-// It returns conn itself when that is no TCP connection.
+// It returns conn itself if that is not a TCP connection.
 func Wrap(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -24,8 +24,8 @@
 	return &direct{TCPConn: tcp, raw: raw}
 }
 
-// direct is a TCP connection whose system calls are not announced to the
-// scheduler. Deadlines and Close work as those of the net package.
+// direct is a TCP connection that makes system calls without notifying the
+// scheduler. Deadlines and Close work as in the net package.
 type direct struct {
 	*net.TCPConn
 	raw syscall.RawConn
@@ -46,7 +46,7 @@
 	case err != nil:
 		return 0, err
 	case number != 0:
-		return 0, d.failed("read", number)
+		return 0, d.opError("read", number)
 	case read == 0:
 		return 0, io.EOF
 	}
@@ -66,7 +66,7 @@
 	return total, nil
 }
 
-// writeSome writes what the socket takes now, one byte at least.
+// writeSome writes at least one byte, as many as the socket buffer has room for.
 func (d *direct) writeSome(data []byte) (int, error) {
 	var written uintptr
 	var number syscall.Errno
@@ -78,13 +78,13 @@
 		return 0, err
 	}
 	if number != 0 {
-		return 0, d.failed("write", number)
+		return 0, d.opError("write", number)
 	}
 	return int(written), nil
 }
 
-// retry makes a system call on a descriptor and a buffer again while a signal
-// interrupts it.
+// retry makes a system call on a descriptor and a buffer, and repeats it while it
+// is interrupted by a signal.
 func retry(trap, descriptor uintptr, data []byte) (uintptr, syscall.Errno) {
 	for {
 		count, _, number := syscall.RawSyscall(trap, descriptor, uintptr(unsafe.Pointer(&data[0])), uintptr(len(data)))
@@ -98,8 +98,8 @@
 	}
 }
 
-// failed returns the error that the net package would return.
-func (d *direct) failed(operation string, number syscall.Errno) error {
+// opError returns the error that the net package returns for a failed system call.
+func (d *direct) opError(operation string, number syscall.Errno) error {
 	return &net.OpError{
 		Op:     operation,
 		Net:    "tcp",
@@ -109,7 +109,8 @@
 	}
 }
 
-// peek looks for a byte that has come, without taking it.
+// peek reads a byte without removing it from the socket's receive buffer, and
+// returns the error number of the call. It does not block.
 func peek(descriptor uintptr) syscall.Errno {
 	var one [1]byte
 	_, _, number := syscall.RawSyscall6(syscall.SYS_RECVFROM, descriptor, uintptr(unsafe.Pointer(&one[0])),
--- a/transport/socket/inspect.go
+++ b/transport/socket/inspect.go
@@ -7,16 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Quiet reports whether nothing has come on an idle connection: neither bytes,
-// nor its end, nor an error. It reports true when that cannot be told.
+// Quiet reports whether an idle connection is open and has no bytes to read. It
+// returns true if conn has no descriptor to inspect.
 func Quiet(conn net.Conn) bool {
 	quiet := false
 	hasDescriptor := inspect(conn, func(descriptor uintptr) { quiet = peek(descriptor) == syscall.EAGAIN })
 	return quiet || !hasDescriptor
 }
 
-// Ended reports whether the other side has closed a connection, whatever it has sent
-// before. It reports false when that cannot be told.
+// Ended reports whether the peer has closed its side of a connection, even if bytes
+// are still unread. It returns false if conn has no descriptor to inspect.
 func Ended(conn net.Conn) bool {
 	ended := false
 	inspect(conn, func(descriptor uintptr) {
@@ -27,15 +27,15 @@
 	return ended
 }
 
-// inspect shows the descriptor of a connection to a function, unless the connection was
-// closed on this side. It reports false when a connection has no descriptor to show.
-func inspect(conn net.Conn, show func(descriptor uintptr)) (hasDescriptor bool) {
+// inspect calls a function with the descriptor of a connection, unless the connection
+// was closed locally. It reports whether the connection has a descriptor.
+func inspect(conn net.Conn, visit func(descriptor uintptr)) (hasDescriptor bool) {
 	source, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
 	if raw, err := source.SyscallConn(); err == nil {
-		_ = raw.Control(show) // it fails when the connection was closed on this side
+		_ = raw.Control(visit) // fails if the connection was closed locally
 	}
 	return true
 }
--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Listen opens a listener on an address whose connections are those of this
-// package. Connections are not probed while they are idle: servers end them
-// after their idle time, and requests end at their deadline.
+// Listen opens a TCP listener that wraps accepted connections with Wrap. TCP
+// keep-alive is off: servers close idle connections after their idle timeout, and
+// requests end at their deadline.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	bound, err := config.Listen(context.Background(), "tcp", address)
@@ -18,12 +18,11 @@
 	return listener{Listener: bound}, nil
 }
 
-// listener accepts the connections of another listener as those of this package.
+// listener wraps the connections that it accepts with Wrap.
 type listener struct {
 	net.Listener
 }
 
-// Accept implements net.Listener.
 func (l listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -32,9 +31,9 @@
 	return Wrap(conn), nil
 }
 
-// Dialer opens connections.
+// Dialer opens connections that are wrapped with Wrap. TCP keep-alive is off.
 type Dialer struct {
-	// Timeout bounds the opening of one connection. 0: the context's alone.
+	// Timeout bounds the opening of one connection. 0: only the context bounds it.
 	Timeout time.Duration
 }
 
--- a/transport/socket/socket_test.go
+++ b/transport/socket/socket_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// pair returns both ends of a connection of this package.
+// pair returns both ends of a connection made by Listen and Dialer.
 func pair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	is := is.New(t)
@@ -30,8 +30,9 @@
 	return near, far
 }
 
-// TestBytesPassWhole also when the other side reads slowly and the socket is full.
-func TestBytesPassWhole(t *testing.T) {
+// TestLongWrite guards against lost or repeated bytes when the socket buffer is full
+// and a write takes several system calls.
+func TestLongWrite(t *testing.T) {
 	is := is.New(t)
 	near, far := pair(t)
 	sent := bytes.Repeat([]byte("0123456789"), 1<<20)
@@ -44,15 +45,15 @@
 	is.True(bytes.Equal(received, sent))
 }
 
-func TestErrorsAreThoseOfTheNetPackage(t *testing.T) {
+func TestErrorsMatchNetPackage(t *testing.T) {
 	cases := []struct {
 		name    string
 		disturb func(near, far net.Conn)
 		kind    error
 	}{
-		{"the other side closes", func(_, far net.Conn) { far.Close() }, io.EOF},
-		{"this side closes", func(near, _ net.Conn) { near.Close() }, net.ErrClosed},
-		{"the time is over", func(near, _ net.Conn) { _ = near.SetReadDeadline(time.Now().Add(-time.Second)) }, os.ErrDeadlineExceeded},
+		{"peer closes", func(_, far net.Conn) { far.Close() }, io.EOF},
+		{"closed locally", func(near, _ net.Conn) { near.Close() }, net.ErrClosed},
+		{"deadline exceeded", func(near, _ net.Conn) { _ = near.SetReadDeadline(time.Now().Add(-time.Second)) }, os.ErrDeadlineExceeded},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -69,8 +70,9 @@
 	}
 }
 
-// TestADeadlineEndsAReadThatWaits, as servers need it to end idle connections.
-func TestADeadlineEndsAReadThatWaits(t *testing.T) {
+// TestDeadlineEndsBlockedRead guards against idle connections that servers cannot
+// end by a read deadline.
+func TestDeadlineEndsBlockedRead(t *testing.T) {
 	is := is.New(t)
 	near, _ := pair(t)
 	ended := make(chan error)
@@ -91,17 +93,18 @@
 	eventually(t, func() bool { return !Quiet(near) })
 	_, err = near.Read(make([]byte, 1))
 	is.NoErr(err)
-	is.True(Quiet(near)) // looking took nothing
+	is.True(Quiet(near)) // Quiet must not consume bytes
 	is.True(!Ended(near))
 	far.Close()
 	eventually(t, func() bool { return !Quiet(near) })
 	eventually(t, func() bool { return Ended(near) })
 	near.Close()
-	is.True(!Quiet(near)) // nothing can be sent on it
+	is.True(!Quiet(near)) // closed locally
 }
 
-// TestWhatShowsNoDescriptor counts as well.
-func TestWhatShowsNoDescriptor(t *testing.T) {
+// TestConnectionWithoutDescriptor guards against treating a connection that cannot be
+// inspected as closed.
+func TestConnectionWithoutDescriptor(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	defer near.Close()
@@ -114,7 +117,7 @@
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("waited in vain")
+			t.Fatal("condition not met within 5 s")
 		}
 	}
 }
