--- a/clock/boot_linux_cgo.go
+++ b/clock/boot_linux_cgo.go
@@ -13,6 +13,6 @@
 // }
 import "C"
 
-// bootNanoseconds reads CLOCK_BOOTTIME by the C library, which asks the kernel's page of
-// clocks without a system call.
+// bootNanoseconds reads CLOCK_BOOTTIME through the C library, which uses the vDSO and
+// needs no system call. It returns -1 if the kernel does not have that clock.
 func bootNanoseconds() int64 { return int64(C.boot_nanoseconds()) }
--- a/clock/boot_other.go
+++ b/clock/boot_other.go
@@ -11,10 +11,11 @@
 
 var started = time.Now()
 
-// bootNanoseconds is good for tests alone: processes do not start here.
+// bootNanoseconds does not count suspensions and is for tests only: Check keeps
+// processes from starting on this operating system.
 func bootNanoseconds() int64 { return int64(time.Since(started)) }
 
-// Check returns a result.SettingsInvalid error: processes do not start here.
+// Check returns a result.SettingsInvalid error: loomcleat processes run on Linux only.
 func Check() error {
-	return result.New(result.SettingsInvalid, "no clock that counts suspensions is known of %s", runtime.GOOS)
+	return result.New(result.SettingsInvalid, "%s has no supported clock that counts suspensions of the machine", runtime.GOOS)
 }
--- a/clock/check_linux.go
+++ b/clock/check_linux.go
@@ -2,10 +2,11 @@
 
 import "github.com/loomcleat/loomcleat/result"
 
-// Check returns a result.SettingsInvalid error on a machine without such a clock.
+// Check returns a result.SettingsInvalid error if the kernel does not have
+// CLOCK_BOOTTIME.
 func Check() error {
 	if bootNanoseconds() < 0 {
-		return result.New(result.SettingsInvalid, "the kernel has no CLOCK_BOOTTIME, so that suspensions of the machine can't be seen")
+		return result.New(result.SettingsInvalid, "the kernel has no CLOCK_BOOTTIME, so suspensions of the machine cannot be detected")
 	}
 	return nil
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,13 +1,13 @@
-// Package clock tells the time by a clock that goes on while the machine is suspended.
+// Package clock reads a clock that keeps running while the machine is suspended.
 //
-// The steady clock behind time.Now stands still then, and timers with it. Whatever must
-// hold by the time of others, such as how old a proof is or how long a caller still waits,
-// is measured in Instants of this package. What measures the work of a process, such as
-// latencies and pressure, stays with time.Now: a suspension must not read as a slow back
-// end. The time of day decides nothing; it may step.
+// The monotonic clock behind time.Now stops during a suspension, and so do timers. Times
+// that other machines also count, such as the age of a confirmation or the time left
+// until a caller's deadline, are therefore measured in Instants of this package. Latency
+// and pressure are measured with time.Now, so that a suspension does not look like a slow
+// back end. The time of day is not used for decisions, since it may step.
 //
-// The package relies on CLOCK_BOOTTIME of the kernel; Check says whether it is there.
-// Tests replace the clock with package clocktest.
+// The package relies on the kernel's CLOCK_BOOTTIME; Check reports whether it is
+// available. Tests replace the clock through package clocktest.
 package clock
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/loomcleat/loomcleat/clock/internal/override"
 )
 
-// Instant is a reading of the clock: nanoseconds since the machine has started, with the
-// time in which it was suspended.
+// Instant is a reading of the clock: nanoseconds since the machine booted, including
+// the time during which it was suspended.
 type Instant int64
 
-// Now returns the present reading. It takes some 70 ns and allocates nothing, where the
-// C library's fast path is linked; a system call would take twice as long.
+// Now returns the current reading. It does not allocate, and makes no system call where
+// cgo is enabled.
 func Now() Instant {
 	if source := override.Active.Load(); source != nil {
 		return Instant((*source)())
@@ -29,15 +29,15 @@
 	return Instant(bootNanoseconds())
 }
 
-// Add returns the instant a duration later.
 func (i Instant) Add(duration time.Duration) Instant { return i + Instant(duration) }
 
-// Sub returns the time from another instant to this one.
+// Sub returns the time elapsed from another instant to this one.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// Left returns the time from now to the instant, negative when it has passed.
+// Left returns the time from now until the instant. It is negative once the instant has
+// passed.
 func (i Instant) Left() time.Duration { return i.Sub(Now()) }
 
-// Time returns the instant for decision packages, which know no clock and only compare
-// the times that they are given. It must not be compared with readings of time.Now.
+// Time converts the instant for packages that read no clock and only compare the times
+// passed to them. The result must not be compared with readings of time.Now.
 func (i Instant) Time() time.Time { return time.Unix(0, int64(i)) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomcleat/loomcleat/clock/clocktest"
 )
 
-func TestTheMachineHasTheClock(t *testing.T) {
+func TestClockAdvances(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(clock.Check())
 	before := clock.Now()
@@ -20,7 +20,7 @@
 	is.True(clock.Now().Add(time.Hour).Left() > 59*time.Minute)
 }
 
-func TestASuspensionCounts(t *testing.T) {
+func TestSuspensionCounts(t *testing.T) {
 	is := is.New(t)
 	now := clock.Instant(1000)
 	defer clocktest.Replace(func() clock.Instant { return now })()
@@ -31,10 +31,6 @@
 	is.Equal(clock.Now().Time().Sub(deadline.Time()), 28*time.Second)
 }
 
-// Of three ways on one machine, busy with other work: time.Now alone 73 to 79 ns; this
-// clock by the C library 69 to 100 ns, by a system call 157 to 176 ns; comparing the two
-// readings of time.Now, and reading this clock only when their difference moves, 75 to 99 ns,
-// but a step of the time of day that equals a suspension hides it.
 func BenchmarkNow(b *testing.B) {
 	b.ReportAllocs()
 	for range b.N {
--- a/clock/clocktest/clocktest.go
+++ b/clock/clocktest/clocktest.go
@@ -1,5 +1,5 @@
-// Package clocktest replaces the clock of package clock, for tests of what happens while a
-// machine is suspended. It relies on the switch that package clock reads.
+// Package clocktest replaces the clock of package clock in tests, for example to simulate
+// a suspension of the machine. It sets the source that package override holds.
 package clocktest
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/loomcleat/loomcleat/clock/internal/override"
 )
 
-// Replace puts a source in the place of the machine's clock, for the whole test program,
-// until restore is called.
+// Replace makes clock.Now read a source instead of the machine's clock, in the whole test
+// program, until restore is called.
 func Replace(source func() clock.Instant) (restore func()) {
 	reading := override.Source(func() int64 { return int64(source()) })
 	before := override.Active.Swap(&reading)
--- a/clock/internal/override/override.go
+++ b/clock/internal/override/override.go
@@ -1,12 +1,12 @@
-// Package override is the switch by which another source takes the place of the machine's
-// clock. It owns nothing but that switch. Packages outside clock can't import it: tests use
-// package clocktest, and the build tag suspendedclock sets it in programs that are tested.
+// Package override holds the source that replaces the machine's clock in tests. Packages
+// outside clock cannot import it: tests set the source through package clocktest, and
+// programs under test through the build tag suspendedclock.
 package override
 
 import "sync/atomic"
 
-// Source reads a clock, in nanoseconds.
+// Source returns the reading of a clock, in nanoseconds.
 type Source func() int64
 
-// Active is the source in the place of the machine's clock, nil for none.
+// Active is the source that replaces the machine's clock, or nil.
 var Active atomic.Pointer[Source]
