--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -19,14 +19,14 @@
 	if err != nil {
 		return err
 	}
-	story, err := explain.Tell(records, c.Request)
+	report, err := explain.NewReport(records, c.Request)
 	if err != nil {
 		return err
 	}
 	if c.Output == "json" {
-		return printJSON(output.out, story)
+		return printJSON(output.out, report)
 	}
-	story.Print(output.out)
+	report.Print(output.out)
 	return nil
 }
 
--- a/internal/explain/context.go
+++ b/internal/explain/context.go
@@ -6,21 +6,22 @@
 	"github.com/loomcleat/loomcleat/event"
 )
 
-// beliefs returns the last lines before the cause, of each event and process.
-func (x *index) beliefs(cause Record) []Record {
+// contextOf returns the last line before the cause for each event of the process that wrote
+// it and of the nodes that it tried.
+func (x *index) contextOf(cause Record) []Record {
 	origins := []string{cause.Origin}
 	for _, record := range x.records {
 		if record.Event == event.ProcessStarting && slices.Contains(cause.Tried, record.ID) {
 			origins = append(origins, record.Origin)
 		}
 	}
-	last := map[kindOfLine]Record{}
+	last := map[eventOfProcess]Record{}
 	for _, record := range x.records {
 		later := record.Origin == cause.Origin && record.Position > cause.Position
-		if later || record.Request != "" || !slices.Contains(origins, record.Origin) || !concerns(record, cause) {
+		if later || record.Request != "" || !slices.Contains(origins, record.Origin) || !isRelevant(record, cause) {
 			continue
 		}
-		last[kindOfLine{record.Origin, record.Event}] = record
+		last[eventOfProcess{record.Origin, record.Event}] = record
 	}
 	found := make([]Record, 0, len(last))
 	for _, record := range last {
@@ -30,28 +31,29 @@
 	return found
 }
 
-// kindOfLine is an event of one log.
-type kindOfLine struct {
+// eventOfProcess identifies an event of one process.
+type eventOfProcess struct {
 	origin string
 	event  event.Number
 }
 
-// concerns reports whether a line of belief has to do with the cause.
-func concerns(belief, cause Record) bool {
+// isRelevant reports whether an earlier line is relevant to the cause.
+func isRelevant(earlier, cause Record) bool {
 	switch {
-	case belief.Event == event.GateMoved:
-		return belief.Path == cause.Path
-	case belief.Member != "":
-		return slices.Contains(cause.Tried, belief.Member)
-	case belief.Node != "":
-		return slices.Contains(cause.Tried, belief.Node)
+	case earlier.Event == event.GateMoved:
+		return earlier.Path == cause.Path
+	case earlier.Member != "":
+		return slices.Contains(cause.Tried, earlier.Member)
+	case earlier.Node != "":
+		return slices.Contains(cause.Tried, earlier.Node)
 	default:
 		return true
 	}
 }
 
-// tries returns the other requests that asked for the same, each once.
-func (x *index) tries(cause Record, request string) []string {
+// otherRequests returns the names of the other requests with the signature of the cause, without
+// duplicates.
+func (x *index) otherRequests(cause Record, request string) []string {
 	names := []string{}
 	for _, record := range x.records {
 		same := cause.Signature != "" && record.Signature == cause.Signature && record.Request != ""
@@ -62,8 +64,8 @@
 	return names
 }
 
-// crashes returns what the logs say of back ends that crashed under what the request
-// asked for.
+// crashes returns the lines about back ends that crashed with a request of the cause's
+// signature in flight, and about the quarantine of that signature.
 func (x *index) crashes(cause Record) []Record {
 	lines := []Record{}
 	for _, record := range x.records {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,8 +11,8 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// A mesh of three processes: the entry e, the node n of the first service and the
-// node m of the one that it calls. Times of day are left out, as they say nothing.
+// Logs of a mesh of three processes: the entry e, the node n of the first service, and the
+// node m of the service that it calls.
 const (
 	entryLog = `
 {"@message":"process-starting","event":100,"id":"e-1"}
@@ -50,52 +50,52 @@
 	return all
 }
 
-func TestTheStoryFollowsTheCallsDown(t *testing.T) {
+func TestStepsFollowCalls(t *testing.T) {
 	is := is.New(t)
-	story, err := Tell(readAll(t, entryLog, nodeLog, deepLog), "a")
+	report, err := NewReport(readAll(t, entryLog, nodeLog, deepLog), "a")
 	is.NoErr(err)
 	order := []string{}
-	for _, step := range story.Steps {
+	for _, step := range report.Steps {
 		order = append(order, step.Record.Origin+" "+step.Record.Name+" "+step.Record.Request)
 	}
 	is.Equal(order, []string{
-		"node-m request-refused a.1",     // what the deepest node said
-		"node-n request-refused a.1",     // what became of the call
-		"node-n answered-with-failure a", // so its caller failed
-		"entry attempt-repeated a",       // and the entry tried another node
-		"entry answered-with-failure a",  // in vain
+		"node-m request-refused a.1",     // the deepest node refuses the call
+		"node-n request-refused a.1",     // outcome of the call at its caller
+		"node-n answered-with-failure a", // the caller's back end fails
+		"entry attempt-repeated a",       // the entry tries another node
+		"entry answered-with-failure a",  // outcome at the entry
 	})
-	is.Equal(story.Steps[0].Depth, 1)
-	is.Equal(story.Steps[4].Depth, 0)
-	is.Equal(story.Cause.Code, result.BackendLeft)
-	is.Equal(story.Suppressed, int64(7))
-	is.True(slices.ContainsFunc(story.Beliefs, func(r Record) bool { return r.Event == event.BackendDraining }))
+	is.Equal(report.Steps[0].Depth, 1)
+	is.Equal(report.Steps[4].Depth, 0)
+	is.Equal(report.Cause.Code, result.BackendLeft)
+	is.Equal(report.Suppressed, int64(7))
+	is.True(slices.ContainsFunc(report.Context, func(r Record) bool { return r.Event == event.BackendDraining }))
 
 	var text strings.Builder
-	story.Print(&text)
+	report.Print(&text)
 	is.True(strings.Contains(text.String(), result.BackendLeft.Definition().Text))
 }
 
-func TestBeliefsAreThoseBeforeTheCause(t *testing.T) {
+func TestContextPrecedesCause(t *testing.T) {
 	is := is.New(t)
-	story, err := Tell(readAll(t, entryLog, nodeLog, deepLog), "b")
+	report, err := NewReport(readAll(t, entryLog, nodeLog, deepLog), "b")
 	is.NoErr(err)
-	is.Equal(story.Cause.Code, result.NoRoute)
+	is.Equal(report.Cause.Code, result.NoRoute)
 	revisions := []uint64{}
-	for _, belief := range story.Beliefs {
-		is.Equal(belief.Origin, "entry")
-		is.True(belief.Event != event.GateMoved)       // of another route
-		is.True(belief.Event != event.MemberSuspected) // of a node that was not tried
-		if belief.Event == event.DocumentAdopted {
-			revisions = append(revisions, belief.Revision)
+	for _, earlier := range report.Context {
+		is.Equal(earlier.Origin, "entry")
+		is.True(earlier.Event != event.GateMoved)       // the line is about another route
+		is.True(earlier.Event != event.MemberSuspected) // the node was not tried
+		if earlier.Event == event.DocumentAdopted {
+			revisions = append(revisions, earlier.Revision)
 		}
 	}
-	is.Equal(revisions, []uint64{5}) // the last one
+	is.Equal(revisions, []uint64{5}) // the last adopted revision only
 }
 
-// TestCallsThatWereGivenUpAreNoCause: the back end crashed, and its node gave up the
-// call that it had made.
-func TestCallsThatWereGivenUpAreNoCause(t *testing.T) {
+// TestCancelledCallIsNoCause guards against taking a call that a node cancelled after its
+// back end crashed for the cause, in place of the crash.
+func TestCancelledCallIsNoCause(t *testing.T) {
 	is := is.New(t)
 	log := `
 {"@message":"request-failed","event":410,"direction":"inbound","request":"a.1","code":3004}
@@ -103,48 +103,48 @@
 {"@message":"request-failed","event":410,"direction":"inbound","request":"a","code":3002}
 {"@message":"request-failed","event":410,"direction":"outbound","request":"a","code":3002}
 `
-	story, err := Tell(readAll(t, log), "a")
+	report, err := NewReport(readAll(t, log), "a")
 	is.NoErr(err)
-	is.Equal(story.Cause.Code, result.ConnectionLost)
-	is.Equal(len(story.Steps), 4)
+	is.Equal(report.Cause.Code, result.ConnectionLost)
+	is.Equal(len(report.Steps), 4)
 }
 
-// TestTheReasonIsThatOfTheCallItself: the node beside the back end saw only that its
-// caller went away; the caller knows why.
-func TestTheReasonIsThatOfTheCallItself(t *testing.T) {
+// TestCauseIsCallersReason guards against reporting that the caller went away, as the node
+// beside the back end saw it, in place of the caller's own reason.
+func TestCauseIsCallersReason(t *testing.T) {
 	is := is.New(t)
 	log := `
 {"@message":"request-failed","event":410,"direction":"inbound","request":"a","code":3004}
 {"@message":"request-failed","event":410,"direction":"outbound","request":"a","code":3001}
 `
-	story, err := Tell(readAll(t, log), "a")
+	report, err := NewReport(readAll(t, log), "a")
 	is.NoErr(err)
-	is.Equal(story.Cause.Code, result.DeadlineExceeded)
+	is.Equal(report.Cause.Code, result.DeadlineExceeded)
 }
 
-func TestRequestsWithoutNamesOfTheirOwn(t *testing.T) {
+func TestReportByUserRequest(t *testing.T) {
 	is := is.New(t)
-	story, err := Tell(readAll(t, entryLog, nodeLog, deepLog), "u1")
+	report, err := NewReport(readAll(t, entryLog, nodeLog, deepLog), "u1")
 	is.NoErr(err)
-	is.Equal(len(story.Steps), 5)
-	is.Equal(story.Steps[0].Depth, 1)
+	is.Equal(len(report.Steps), 5)
+	is.Equal(report.Steps[0].Depth, 1)
 }
 
-func TestNothingIsKnown(t *testing.T) {
+func TestMissingAndMalformedInput(t *testing.T) {
 	is := is.New(t)
-	_, err := Tell(readAll(t, entryLog), "c")
+	_, err := NewReport(readAll(t, entryLog), "c")
 	is.Equal(result.From(err).Code, result.NotFound)
 	is.True(strings.Contains(err.Error(), "7 lines"))
 	_, err = Append(nil, "broken", strings.NewReader(strings.Repeat("x", maximumLine+1)))
 	is.Equal(result.From(err).Code, result.BadRequest)
 	loop := `{"event":411,"request":"a","parent":"a","direction":"outbound","code":2001}`
-	story, err := Tell(readAll(t, loop), "a")
+	report, err := NewReport(readAll(t, loop), "a")
 	is.NoErr(err)
-	is.Equal(len(story.Steps), 1) // a request that names itself as its parent
-	is.Equal(story.Cause.Code, result.Overloaded)
+	is.Equal(len(report.Steps), 1) // a request that is its own parent is listed once
+	is.Equal(report.Cause.Code, result.Overloaded)
 }
 
-func TestAStoryNamesOtherTriesAndCrashes(t *testing.T) {
+func TestOtherRequestsAndCrashes(t *testing.T) {
 	is := is.New(t)
 	const entry = `
 {"@message":"request-failed","event":410,"direction":"outbound","request":"a","code":3002,"signature":"same"}
@@ -156,13 +156,13 @@
 node-n {"@message":"request-quarantined","event":420,"signature":"same"}
 node-n {"@message":"backend-crashed","event":419,"instance":"i-2","signatures":["other"]}
 `
-	story, err := Tell(readAll(t, entry, beside), "b")
+	report, err := NewReport(readAll(t, entry, beside), "b")
 	is.NoErr(err)
-	is.Equal(story.Tries, []string{"a"})
-	is.Equal(len(story.Crashes), 2)
+	is.Equal(report.OtherRequests, []string{"a"})
+	is.Equal(len(report.Crashes), 2)
 
 	var text strings.Builder
-	story.Print(&text)
+	report.Print(&text)
 	is.True(strings.Contains(text.String(), "Other tries that asked for the same: a\n"))
 	is.True(strings.Contains(text.String(), "backend-crashed instance=i-1 with 2 requests"))
 	is.True(!strings.Contains(text.String(), "i-2"))
--- a/internal/explain/index.go
+++ b/internal/explain/index.go
@@ -8,11 +8,11 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// index finds the lines about a request and the calls that were made for it.
+// index finds the lines about a request and about the calls made for it.
 type index struct {
 	records    []Record
 	byRequest  map[string][]Record
-	children   map[string][]string // by the parent's name, each name once
+	children   map[string][]string // names of calls by parent, without duplicates
 	suppressed int64
 }
 
@@ -31,9 +31,9 @@
 	return x
 }
 
-// steps returns the lines of a request in order of cause: its calls, what nodes
-// beside back ends said, what its entry tried, how it ended there.
-// Requests in seen are left out, and it takes those that are told.
+// steps returns the lines of a request, causes first: those of the calls made for it,
+// those of nodes that received it, the repeated attempts of the process that sent it, and
+// the outcome at that process. It skips requests in seen and adds those that it visits.
 func (x *index) steps(request string, depth int, seen map[string]bool) []Step {
 	if seen[request] {
 		return nil
@@ -43,7 +43,7 @@
 	for _, child := range x.children[request] {
 		steps = append(steps, x.steps(child, depth+1, seen)...)
 	}
-	for _, rank := range []func(Record) bool{isInbound, isRepeat, isEnd} {
+	for _, rank := range []func(Record) bool{isInbound, isRepeat, isOutcome} {
 		for _, record := range x.byRequest[request] {
 			if rank(record) {
 				steps = append(steps, Step{Depth: depth, Record: record})
@@ -57,28 +57,29 @@
 
 func isRepeat(record Record) bool { return record.Event == event.AttemptRepeated }
 
-func isEnd(record Record) bool { return !isInbound(record) && !isRepeat(record) }
+func isOutcome(record Record) bool { return !isInbound(record) && !isRepeat(record) }
 
-// ownReason reports whether a line tells a reason of its own. A call that ended
-// since whoever had made it went away shows an effect.
-func ownReason(record Record) bool {
+// hasOwnReason reports whether a line can be a cause. A call that ended because its caller
+// cancelled it or went away is only an effect.
+func hasOwnReason(record Record) bool {
 	return record.Code != result.CallerCancelled && record.Code != result.CallerGone
 }
 
-func decidedItself(record Record) bool { return isEnd(record) && ownReason(record) }
+func isIndependentOutcome(record Record) bool { return isOutcome(record) && hasOwnReason(record) }
 
-// cause follows the calls of a request down to the first that did not end well.
+// cause returns the line that most likely determined the outcome of a request. It
+// follows the calls of the request down to the deepest one that failed on its own.
 func (x *index) cause(request string, seen map[string]bool) Record {
 	seen[request] = true
 	for _, child := range x.children[request] {
-		if !seen[child] && slices.ContainsFunc(x.byRequest[child], decidedItself) {
+		if !seen[child] && slices.ContainsFunc(x.byRequest[child], isIndependentOutcome) {
 			return x.cause(child, seen)
 		}
 	}
 	own := x.byRequest[request]
 	for _, fits := range []func(Record) bool{
-		func(record Record) bool { return isInbound(record) && ownReason(record) },
-		ownReason,
+		func(record Record) bool { return isInbound(record) && hasOwnReason(record) },
+		hasOwnReason,
 	} {
 		if found := slices.IndexFunc(own, fits); found >= 0 {
 			return own[found]
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -8,47 +8,47 @@
 	"github.com/loomcleat/loomcleat/event"
 )
 
-// Print writes a story for people.
-func (s *Story) Print(out io.Writer) {
+// Print writes a report as text for operators.
+func (r *Report) Print(out io.Writer) {
 	fmt.Fprintln(out, "What was decided, causes first:")
-	for _, step := range s.Steps {
+	for _, step := range r.Steps {
 		fmt.Fprintf(out, "%s%s\n", strings.Repeat("  ", step.Depth+1), step.Record.summary())
 	}
 	fmt.Fprintln(out, "Likely cause:")
-	fmt.Fprintf(out, "  %s\n  %s\n", s.Cause.summary(), s.Cause.meaning())
-	if len(s.Beliefs) > 0 {
+	fmt.Fprintf(out, "  %s\n  %s\n", r.Cause.summary(), r.Cause.meaning())
+	if len(r.Context) > 0 {
 		fmt.Fprintln(out, "What was believed before, by the process that decided and those it tried:")
 	}
-	for _, belief := range s.Beliefs {
-		fmt.Fprintf(out, "  %s %s\n", belief.Origin, belief.Text)
+	for _, earlier := range r.Context {
+		fmt.Fprintf(out, "  %s %s\n", earlier.Origin, earlier.Text)
 	}
-	if len(s.Tries) > 0 {
-		fmt.Fprintf(out, "Other tries that asked for the same: %s\n", shortened(s.Tries))
+	if len(r.OtherRequests) > 0 {
+		fmt.Fprintf(out, "Other tries that asked for the same: %s\n", joinLimited(r.OtherRequests))
 	}
-	if len(s.Crashes) > 0 {
+	if len(r.Crashes) > 0 {
 		fmt.Fprintln(out, "Back ends that crashed under what it asked for:")
 	}
-	for _, line := range s.Crashes {
+	for _, line := range r.Crashes {
 		fmt.Fprintf(out, "  %s\n", line.crashSummary())
 	}
-	if s.Suppressed > 0 {
-		fmt.Fprintf(out, "These logs left out %d lines.\n", s.Suppressed)
+	if r.Suppressed > 0 {
+		fmt.Fprintf(out, "These logs left out %d lines.\n", r.Suppressed)
 	}
 }
 
-// maximumShown bounds the names that are printed behind each other.
+// maximumShown bounds the number of names in a printed list.
 const maximumShown = 20
 
-// shortened joins names, of which the first ones are enough.
-func shortened(names []string) string {
+// joinLimited joins names and replaces those beyond maximumShown by their number.
+func joinLimited(names []string) string {
 	if len(names) <= maximumShown {
 		return strings.Join(names, ", ")
 	}
 	return fmt.Sprintf("%s and %d more", strings.Join(names[:maximumShown], ", "), len(names)-maximumShown)
 }
 
-// crashSummary is a line about crashes in short: those that were lost beside the request
-// are counted.
+// crashSummary is the printed form of a line about a crash or a quarantine. For a crash
+// it has the number of requests that were in flight.
 func (r *Record) crashSummary() string {
 	text := fmt.Sprintf("%s %d %s", r.Origin, int(r.Event), r.Name)
 	if r.Instance != "" {
@@ -57,7 +57,7 @@
 	return text
 }
 
-// summary is the line in short.
+// summary is the printed form of a line about a request.
 func (r *Record) summary() string {
 	parts := []string{fmt.Sprintf("%s %d %s", r.Origin, int(r.Event), r.Name), "request=" + r.Request}
 	add := func(name, value string) {
@@ -79,7 +79,7 @@
 	return strings.Join(parts, " ")
 }
 
-// meaning says what a cause means.
+// meaning describes a cause in a sentence.
 func (r *Record) meaning() string {
 	switch {
 	case r.Code.Known():
--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -1,13 +1,14 @@
-// Package explain tells the story of one request from the logs of several
-// processes: what each decided about it, in order of cause, and what they believed.
+// Package explain reconstructs from the logs of several processes what happened to a
+// request: what each process decided about it, causes first, and the earlier log lines
+// that show the state in which it decided.
 //
-// It owns how lines are linked: by the name of a request, by the parent that a call was
-// made for, and by the signature of what was asked for. It relies on the numbered events
-// and results alone, and on no process that runs.
+// It links log lines by the name of the request, by the parent request of a call, and by
+// the signature of the request's content. It relies only on the numbered events and
+// results in the logs, not on running processes.
 //
-// Clocks of machines differ and jump, so that times of day of different logs are
-// not compared. Lines of one log are in order; between logs, what a call's own
-// calls came to stands before what became of the call.
+// Times of day in different logs are not compared, since clocks of machines differ and
+// step. Lines of one log keep their order; between logs, the outcomes of the calls made
+// for a request come before the outcome of the request.
 package explain
 
 import (
@@ -21,14 +22,14 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Record is one line of a log. Fields that the line does not have are zero.
+// Record is one log line. Fields that the line does not contain are zero.
 type Record struct {
-	// Origin names the log: the text before the line's object when there is any,
-	// as collectors of logs put it there, else the name of the file.
+	// Origin identifies the process that wrote the line: the last word before the
+	// line's JSON object, as log collectors add it, or else the name of the log file.
 	Origin string `json:"-"`
-	// Position is the number of the line among all that were read.
+	// Position is the index of the record among all that were read.
 	Position int `json:"-"`
-	// Text is the object as it was written.
+	// Text is the line's JSON object, unchanged.
 	Text string `json:"-"`
 
 	Event       event.Number `json:"event"`
@@ -51,19 +52,19 @@
 	Node        string       `json:"node"`
 	Instance    string       `json:"instance"`
 	Suppressed  int64        `json:"suppressed"`
-	// Signature names what the request asked for, the same for all its tries.
+	// Signature identifies the content of the request. It is the same for all attempts
+	// and client retries.
 	Signature string `json:"signature"`
-	// Signatures are those of the requests that were lost with a back end.
+	// Signatures are those of the requests in flight when a back end crashed.
 	Signatures []string `json:"signatures"`
 }
 
-// maximumLine bounds the length of a line of a log, in bytes. Longer ones are an
-// error of the reader.
+// maximumLine bounds the length of a log line, in bytes. Append fails on longer lines.
 const maximumLine = 1 << 20
 
-// Append reads the lines of one log and adds them to those of others. Lines without
-// an object of the log are passed over. It returns a result.BadRequest error when
-// the log cannot be read.
+// Append reads a log and appends its records to those of other logs. It skips lines that
+// contain no numbered event. It returns a result.BadRequest error if the log cannot be
+// read.
 func Append(records []Record, name string, from io.Reader) ([]Record, error) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, maximumLine)
@@ -74,7 +75,7 @@
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return nil, result.Wrap(result.BadRequest, err, "reading the log %s", name)
+		return nil, result.Wrap(result.BadRequest, err, "reading log %s", name)
 	}
 	return records, nil
 }
@@ -93,8 +94,8 @@
 	return record, true
 }
 
-// originOf takes the last word before a line's object, since what stands before
-// it is a time, if anything.
+// originOf returns the last word before a line's JSON object, or name if there is none.
+// Log collectors may put a time before that word.
 func originOf(name, before string) string {
 	words := strings.Fields(before)
 	if len(words) == 0 {
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -6,55 +6,58 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Step is one line about a request, Depth calls below the one that was asked for.
+// Step is one log line about a request or a call made for it. Depth is the number of
+// calls between the explained request and this one.
 type Step struct {
 	Depth  int    `json:"Depth"`
 	Record Record `json:"Record"`
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
-	// Steps are the lines about it and the calls made for it, causes first.
+// Report explains the outcome of one request.
+type Report struct {
+	// Steps are the lines about the request and the calls made for it, causes first.
 	Steps []Step `json:"Steps"`
-	// Cause is the line that most likely decided how it ended.
+	// Cause is the line that most likely determined the outcome.
 	Cause Record `json:"Cause"`
-	// Beliefs are earlier lines of the process that wrote Cause, and of the nodes
-	// that it had tried, that tell what it believed. The last ones of each kind.
-	Beliefs []Record `json:"Beliefs"`
-	// Tries are the names of other requests of callers that asked for the same, in the
-	// order of the logs: those of a caller that came again, if no other asks for the same.
-	Tries []string `json:"Tries"`
-	// Crashes are the lines about back ends that crashed under what the request asked
-	// for, and about its quarantine.
+	// Context are earlier lines of the process that wrote Cause, and of the nodes that
+	// it tried, which show the state in which it decided. Only the last line of each
+	// event and process is included.
+	Context []Record `json:"Beliefs"`
+	// OtherRequests are the names of other requests with the same signature, in the order of the
+	// logs. They are usually retries by the same client.
+	OtherRequests []string `json:"Tries"`
+	// Crashes are the lines about back ends that crashed with a request of this signature
+	// in flight, and about the quarantine of the signature.
 	Crashes []Record `json:"Crashes"`
-	// Suppressed is the number of lines that the logs say were left out.
+	// Suppressed is the number of lines that the processes omitted, according to the
+	// logs.
 	Suppressed int64 `json:"Suppressed"`
 }
 
-// Tell collects the story of a request by the name that its caller gave it, or by the one
-// that the mesh gave to its user request. It returns a result.NotFound error when no line
-// names it.
-func Tell(records []Record, request string) (Story, error) {
+// NewReport explains a request, identified by the name that its caller gave it or by the
+// name that the mesh gave its user request. It returns a result.NotFound error if no
+// record names the request.
+func NewReport(records []Record, request string) (Report, error) {
 	lines := newIndex(records)
 	steps := lines.steps(request, 0, map[string]bool{})
 	if len(steps) == 0 {
-		return tellUserRequest(lines, request)
+		return newUserRequestReport(lines, request)
 	}
 	cause := lines.cause(request, map[string]bool{})
-	return Story{
-		Steps:      steps,
-		Cause:      cause,
-		Beliefs:    lines.beliefs(cause),
-		Tries:      lines.tries(cause, request),
-		Crashes:    lines.crashes(cause),
-		Suppressed: lines.suppressed,
+	return Report{
+		Steps:         steps,
+		Cause:         cause,
+		Context:       lines.contextOf(cause),
+		OtherRequests: lines.otherRequests(cause, request),
+		Crashes:       lines.crashes(cause),
+		Suppressed:    lines.suppressed,
 	}, nil
 }
 
-// tellUserRequest tells the story of all calls of a user request, by the name that
-// the mesh gave it: callers whose requests have no names of their own know it from
-// a line of the log. Calls further down stand first.
-func tellUserRequest(lines *index, name string) (Story, error) {
+// newUserRequestReport explains all calls of a user request, identified by the name that the
+// mesh gave it. Callers that do not name their requests find that name in the logs. The
+// deepest calls come first.
+func newUserRequestReport(lines *index, name string) (Report, error) {
 	steps := []Step{}
 	for _, record := range lines.records {
 		if record.UserRequest == name {
@@ -62,10 +65,10 @@
 		}
 	}
 	if len(steps) == 0 {
-		return Story{}, result.New(result.NotFound,
+		return Report{}, result.New(result.NotFound,
 			"no line names request %q: it ended well, or its lines were left out (%d lines were, by these logs)", name, lines.suppressed)
 	}
 	slices.SortStableFunc(steps, func(x, y Step) int { return y.Depth - x.Depth })
 	cause := steps[0].Record
-	return Story{Steps: steps, Cause: cause, Beliefs: lines.beliefs(cause), Suppressed: lines.suppressed}, nil
+	return Report{Steps: steps, Cause: cause, Context: lines.contextOf(cause), Suppressed: lines.suppressed}, nil
 }
