--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,9 +1,8 @@
-// Package cli is the command line of loomcleat: one file for each command, or for each
-// group of them.
+// Package cli implements the command line of loomcleat.
 //
-// It owns the grammar, what commands print and their exit statuses. It relies on package
-// daemon to run a process, on package policy/editor to edit the policy tree in the store,
-// and on the control addresses of processes for everything about a running mesh.
+// It defines the commands and flags, the output of commands and their exit statuses. It
+// relies on package daemon to run processes, on package policy/editor to edit the policy
+// tree in the store, and on the control addresses of processes to query a running mesh.
 package cli
 
 import (
@@ -21,10 +20,10 @@
 const (
 	exitOK      = 0
 	exitFailure = 1
-	exitUsage   = 2 // wrong command line or settings
+	exitUsage   = 2 // invalid command line or settings
 )
 
-// commandLine is the grammar of the command line.
+// commandLine defines the commands for kong.
 type commandLine struct {
 	Node    nodeCommand    `cmd:"" help:"Run the node beside one back end."`
 	Gateway gatewayCommand `cmd:"" help:"Run the door for callers."`
@@ -36,18 +35,18 @@
 }
 
 const description = `loomcleat admits, delays, retries or refuses calls between services when demand
-outruns capacity, by a tree of settings that operators edit.
+exceeds capacity, according to a policy tree that operators edit.
 
-  loomcleat demo                       a mesh to try out
+  loomcleat demo                       a small mesh for trying it out
   loomcleat node --config node.yaml    beside each back end
-  loomcleat gateway --config gw.yaml   the door for callers
+  loomcleat gateway --config gw.yaml   the entry for callers' requests
   loomcleat config set --store http://127.0.0.1:8500 sales/cabins/booking class=critical
-  loomcleat explain ID node-*.log      what became of a request
+  loomcleat explain ID node-*.log      what happened to a request
 
 Errors are numbered (docs/RESULTS.md), log events too (docs/EVENTS.md). Exit
 status: 0 done, 1 failed, 2 wrong command line or settings.`
 
-// streams are where commands write.
+// streams are the outputs of a command.
 type streams struct {
 	out io.Writer
 	err io.Writer
@@ -73,7 +72,7 @@
 	return report(output, context.Run())
 }
 
-// report prints an error and returns the exit status for it.
+// report prints an error, unless it is nil, and returns the exit status.
 func report(output *streams, err error) int {
 	if err == nil {
 		return exitOK
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -24,7 +24,7 @@
 	Validate configValidate `cmd:"" help:"Check a policy document in a file; nothing is written."`
 }
 
-// storeFlags are the flags of commands that talk to the store.
+// storeFlags are the flags of commands that access the store.
 type storeFlags struct {
 	Store   string        `help:"Base URL of the key-value service." required:"" env:"LOOMCLEAT_STORE"`
 	Timeout time.Duration `help:"Time for the whole command." default:"10s"`
@@ -44,7 +44,6 @@
 	return document, err
 }
 
-// printJSON writes a value as indented JSON.
 func printJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
@@ -56,7 +55,6 @@
 	Path string `arg:"" optional:"" help:"Show this entry only."`
 }
 
-// Run shows entries.
 func (c *configGet) Run(output *streams) error {
 	document, err := c.read()
 	if err != nil {
@@ -92,7 +90,6 @@
 	Path    string `arg:"" help:"Path of the call."`
 }
 
-// Run resolves a call.
 func (c *configResolve) Run(output *streams) error {
 	document, err := c.read()
 	if err != nil {
@@ -114,7 +111,6 @@
 	Limit int `help:"Number of edits." default:"20"`
 }
 
-// Run shows the history.
 func (c *configHistory) Run(output *streams) error {
 	document, err := c.read()
 	if err != nil {
@@ -144,11 +140,10 @@
 	File string `arg:"" help:"JSON file with a policy document, as printed by config get --output json." type:"existingfile"`
 }
 
-// Run checks a document.
 func (c *configValidate) Run(output *streams) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
-		return result.Wrap(result.UsageInvalid, err, "reading the document")
+		return result.Wrap(result.UsageInvalid, err, "reading the policy document")
 	}
 	document, err := policy.Decode(data)
 	if err != nil {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -24,7 +24,6 @@
 // startTimeout bounds the start of the demo's mesh.
 const startTimeout = 20 * time.Second
 
-// Run runs the demo.
 func (c *demoCommand) Run(output *streams) error {
 	log := event.Discard()
 	if c.Verbose {
@@ -52,7 +51,7 @@
 	return c.load(stop, output, mesh)
 }
 
-// introduce prints what to try.
+// introduce prints example commands for the running mesh.
 func (c *demoCommand) introduce(output *streams, mesh *lab.Mesh) {
 	gateway := mesh.Gateways[0]
 	program := os.Args[0]
--- a/internal/cli/edit.go
+++ b/internal/cli/edit.go
@@ -17,7 +17,6 @@
 	Values []string `arg:"" help:"key=value, for example class=critical or deadline=2s."`
 }
 
-// Run sets keys.
 func (c *configSet) Run(output *streams) error {
 	changes := []policy.Change{}
 	for _, pair := range c.Values {
@@ -36,7 +35,6 @@
 	Keys []string `arg:"" optional:"" help:"Keys to remove; none: the whole entry."`
 }
 
-// Run unsets keys.
 func (c *configUnset) Run(output *streams) error {
 	changes := []policy.Change{}
 	for _, key := range c.Keys {
@@ -48,7 +46,7 @@
 	return c.apply(output, changes)
 }
 
-// editFlags are the flags of commands that edit.
+// editFlags are the flags of commands that edit the policy tree.
 type editFlags struct {
 	storeFlags
 	Author string        `help:"Name recorded with the edit. Default: the user's name."`
@@ -63,22 +61,22 @@
 	}
 	current, err := user.Current()
 	if err != nil {
-		return "unknown" // as in a container without a list of users; the edit itself is fine
+		return "unknown" // the user has no name, as in a container without /etc/passwd
 	}
 	return current.Username
 }
 
-// editOutcome is what an edit prints as JSON.
+// editOutcome is the outcome of an edit, as printed in JSON.
 type editOutcome struct {
 	Revision    uint64       `json:"revision"`
 	Written     bool         `json:"written"`
 	Differences []difference `json:"differences"`
-	InForce     int          `json:"in_force"` // members that have it, with --node
-	Members     int          `json:"members"`
+	InForce     int          `json:"in_force"` // members with the revision in force; 0 without --node
+	Members     int          `json:"members"`  // 0 without --node
 }
 
-// apply makes an edit and prints what it changed. The edit is tried on a copy first, so
-// that one which is not acceptable writes nothing.
+// apply makes an edit and prints the resulting differences. It applies the edit to a copy
+// first, so that an invalid edit writes nothing.
 func (f *editFlags) apply(output *streams, changes []policy.Change) error {
 	client, ctx, cancel := f.open()
 	defer cancel()
@@ -122,7 +120,7 @@
 	return nil
 }
 
-// difference is one value that resolves differently after an edit.
+// difference is a resolved value that an edit changes.
 type difference struct {
 	Path   string `json:"path"`
 	Key    string `json:"key"`
@@ -130,7 +128,7 @@
 	After  string `json:"after"`
 }
 
-// differences lists what resolves differently for each entry.
+// differences lists the resolved values that differ, for each entry of both documents.
 func differences(before, after *policy.Document) []difference {
 	oldIndex, newIndex := policy.NewIndex(before), policy.NewIndex(after)
 	paths := map[string]bool{}
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,7 +13,6 @@
 	Output  string   `help:"text or json." enum:"text,json" default:"text"`
 }
 
-// Run tells the story of a request.
 func (c *explainCommand) Run(output *streams) error {
 	records, err := c.read()
 	if err != nil {
@@ -30,7 +29,6 @@
 	return nil
 }
 
-// read reads all logs.
 func (c *explainCommand) read() (records []explain.Record, err error) {
 	if len(c.Logs) == 0 {
 		return explain.Append(nil, "standard-input", os.Stdin)
@@ -46,7 +44,7 @@
 func appendLog(records []explain.Record, name string) ([]explain.Record, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, result.Wrap(result.NotFound, err, "the log %s", name)
+		return nil, result.Wrap(result.NotFound, err, "opening log %s", name)
 	}
 	defer file.Close()
 	return explain.Append(records, name, file)
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -17,7 +17,7 @@
 	"github.com/loomcleat/loomcleat/internal/golden"
 )
 
-// TestCommandsAndFlags lists the command line: scripts are written against it.
+// TestCommandsAndFlags guards against changes to commands and flags that scripts use.
 func TestCommandsAndFlags(t *testing.T) {
 	is := is.New(t)
 	parser, err := kong.New(&commandLine{}, kong.Name("loomcleat"))
@@ -25,8 +25,8 @@
 	golden.Text(t, "commands.txt", []byte(golden.Commands(parser.Model.Node)))
 }
 
-// answers are what the processes of a small mesh tell at their control addresses. ADDRESS
-// stands for that of the process which answers.
+// answers are the answers of a stub process at its control address, by path. ADDRESS is
+// replaced by that address.
 var answers = map[string]string{
 	"/v1/status": `{"id":"booking-1","role":"node","region":"north","zone":"north-1","service":"booking","ready":true,"leaving":false,
 "revisions":{"policy":7,"groups":3,"confirmed":true,"age":5,"proven":6},
@@ -36,11 +36,11 @@
 	"/v1/tenants": `{"id":"booking-1","cut_off":true,"quotas":[{"tenant":"jones","rate":2,"burst":2.5,"admitted":8,"refused":770,"admit":0.01}]}`,
 }
 
-// tree is a policy document in the store.
+// tree is the policy document in the stub store.
 const tree = `{"revision":2,"entries":{"/":{"retry_budget":2},"sales/cabins/booking":{"class":"critical","deadline":"2s"}},
 "history":[{"id":"e-1","revision":2,"author":"ann","time":"2026-01-02T03:04:05Z","changes":[{"path":"/","key":"retry_budget","value":"2"},{"path":"sales","key":"class","unset":true}]}]}`
 
-// TestOutputOfCommands is what operators and their scripts read.
+// TestOutputOfCommands guards against changes to output that operators and scripts read.
 func TestOutputOfCommands(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/v1/kv/") {
@@ -78,7 +78,7 @@
 	}
 }
 
-// outputOf runs a command as main does and returns what it wrote and its exit status.
+// outputOf runs a command as main does and returns its output and exit status.
 func outputOf(t *testing.T, command []string) []byte {
 	t.Helper()
 	is := is.New(t)
@@ -91,7 +91,7 @@
 	is.NoErr(written.Close())
 	text, err := os.ReadFile(written.Name())
 	is.NoErr(err)
-	folder, err := os.Getwd() // files are named by their whole paths
+	folder, err := os.Getwd() // the output contains absolute file names
 	is.NoErr(err)
 	text = bytes.ReplaceAll(text, []byte(folder+"/"), nil)
 	return fmt.Appendf(text, "exit status %d\n", status)
--- a/internal/cli/process.go
+++ b/internal/cli/process.go
@@ -8,7 +8,7 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// processFlags are the flags of node and gateway. A flag wins over the file.
+// processFlags are the flags of node and gateway. A flag overrides the settings file.
 type processFlags struct {
 	Config      string   `help:"Settings file (YAML). Every key is described in settings/settings.go." type:"path"`
 	Check       bool     `help:"Check the settings and end."`
@@ -25,7 +25,7 @@
 	LogFormat   string   `help:"text or json."`
 }
 
-// apply puts the flags over the settings.
+// apply overrides the settings with the flags that are set.
 func (f *processFlags) apply(s *settings.Settings) {
 	override(&s.ID, f.ID)
 	override(&s.Region, f.Region)
@@ -48,7 +48,7 @@
 	}
 }
 
-// run checks and runs a process.
+// run runs a process, or only checks its settings with --check.
 func (f *processFlags) run(output *streams, role settings.Role, adjust func(*settings.Settings)) error {
 	load := func() (settings.Settings, error) { return f.load(role, adjust) }
 	if f.Check {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// load reads and checks the settings.
+// load reads the settings, applies the flags and checks the result.
 func (f *processFlags) load(role settings.Role, adjust func(*settings.Settings)) (settings.Settings, error) {
 	loaded, lines, err := settings.Load(role, f.Config)
 	if err != nil {
@@ -82,7 +82,6 @@
 	Outbound string `help:"Address for the calls that the back end makes, IP:port."`
 }
 
-// Run runs a node.
 func (c *nodeCommand) Run(output *streams) error {
 	return c.run(output, settings.RoleNode, func(s *settings.Settings) {
 		override(&s.Service, c.Service)
@@ -95,7 +94,6 @@
 	processFlags
 }
 
-// Run runs a gateway.
 func (c *gatewayCommand) Run(output *streams) error {
 	return c.run(output, settings.RoleGateway, func(*settings.Settings) {})
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -20,7 +20,6 @@
 	Output  string        `help:"text or json." enum:"text,json" default:"text"`
 }
 
-// Run shows the status of all members.
 func (c *statusCommand) Run(output *streams) error {
 	statuses, err := meshStatus(c.Node, c.Timeout)
 	if err != nil {
@@ -38,14 +37,14 @@
 	return table.Flush()
 }
 
-// memberStatus is the status of one member, or what the mesh says of one that
-// does not answer.
+// memberStatus is the status of one member. For a member that does not answer, it holds
+// only what the queried process knows of it from gossip.
 type memberStatus struct {
 	wire.Status
 	State string `json:"state"`
 }
 
-// meshStatus asks one process for the members and then each member for its
+// meshStatus asks the process at address for the members, and then each member for its
 // status.
 func meshStatus(address string, timeout time.Duration) ([]memberStatus, error) {
 	first, err := askStatus(address, timeout)
@@ -60,14 +59,15 @@
 	return statuses, nil
 }
 
-// statusOf returns what a member answered, nil for no answer, or what the mesh says of it.
+// statusOf returns the status that a member answered. Without an answer (nil) it returns
+// what is known of the member from gossip.
 func statusOf(member membership.Member, answer *wire.Status) memberStatus {
 	known := memberStatus{State: member.Status.String()}
 	known.ID, known.Service, known.Zone, known.Region = member.ID, member.Service, member.Zone, member.Region
 	if member.Status == membership.Dead {
 		return known
 	}
-	if answer == nil || answer.ID != member.ID { // another process may have its address
+	if answer == nil || answer.ID != member.ID { // another process may now use its address
 		known.State += ", no answer"
 		return known
 	}
@@ -90,8 +90,9 @@
 	return status, err
 }
 
-// askMembers asks all members that are not dead at a path, at once. The answers are in the
-// order of the members, nil for those that did not answer.
+// askMembers sends a request for path to the control addresses of all members that are not
+// dead, concurrently. The answers are in the order of the members, nil for members that
+// did not answer.
 func askMembers[T any](members []membership.Member, path string, timeout time.Duration) []*T {
 	answers := make([]*T, len(members))
 	var group sync.WaitGroup
@@ -103,14 +104,15 @@
 			answer := new(T)
 			if askProcess(member.Control, path, timeout, answer) == nil {
 				answers[i] = answer
-			} // the output shows that it did not answer
+			} // the output shows which members did not answer
 		})
 	}
 	group.Wait()
 	return answers
 }
 
-// askProcess reads what a process answers at a path of its control address.
+// askProcess requests a path at the control address of a process and decodes its JSON
+// answer.
 func askProcess(address, path string, timeout time.Duration, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -124,21 +126,22 @@
 	}
 	defer response.Body.Close()
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return result.Wrap(result.NodeUnreachable, err, "the answer of %s is not understood", address)
+		return result.Wrap(result.NodeUnreachable, err, "decoding the answer of %s", address)
 	}
 	return nil
 }
 
-// pollInterval is the time between two looks at the mesh.
+// pollInterval is the time between two polls of the mesh.
 const pollInterval = 50 * time.Millisecond
 
-// pollTimeout is the time that each process has to answer one look.
+// pollTimeout bounds the answer of each process to a poll.
 const pollTimeout = time.Second
 
-// waitInForce waits until all members have the policy revision, patience at most, and
-// returns how many have it and how many there are, 0 when the mesh did not answer.
-func waitInForce(address string, revision uint64, patience time.Duration) (inForce, members int) {
-	end := time.Now().Add(patience)
+// waitInForce waits until all members have the policy revision in force, or until the
+// timeout. It returns the number of members that have it and the number of all members,
+// both 0 if the process at address did not answer.
+func waitInForce(address string, revision uint64, timeout time.Duration) (inForce, members int) {
+	end := time.Now().Add(timeout)
 	for {
 		inForce, members = countInForce(address, revision)
 		if (members > 0 && inForce == members) || time.Now().After(end) {
@@ -148,12 +151,13 @@
 	}
 }
 
-// countInForce returns how many members have the policy revision and how many there are.
-// Those that do not answer count as members that do not have it, dead ones not at all.
+// countInForce returns the number of members that have the policy revision in force and
+// the number of all members. Members that do not answer count as not having it; dead
+// members do not count.
 func countInForce(address string, revision uint64) (inForce, members int) {
 	statuses, err := meshStatus(address, pollTimeout)
 	if err != nil {
-		return 0, 0 // the next look may succeed; in the end the command prints how many have it
+		return 0, 0 // the next poll may succeed
 	}
 	for _, s := range statuses {
 		if s.State == membership.Dead.String() {
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -18,22 +18,23 @@
 	Output  string        `help:"text or json." enum:"text,json" default:"text"`
 }
 
-// tenantUse is what all processes that answered know of one tenant.
+// tenantUse is the quota use of one tenant, summed over the processes that answered.
 type tenantUse struct {
 	quota.State
-	// Throttled is the number of processes that admit only a share of its requests.
+	// Throttled is the number of processes that admit only a share of the tenant's
+	// requests.
 	Throttled int `json:"narrowed"`
 }
 
-// meshTenants is the use of all quotas.
+// meshTenants is the quota use of all tenants.
 type meshTenants struct {
 	Tenants  []tenantUse `json:"tenants"`
-	Answered int         `json:"answered"` // processes
-	CutOff   int         `json:"cut_off"`  // of those: they keep to equal shares
+	Answered int         `json:"answered"` // processes that answered
+	CutOff   int         `json:"cut_off"`  // processes that answered and are limited to equal shares
 	Silent   int         `json:"silent"`   // processes that did not answer
 }
 
-// Run shows the tenants with a quota, those that use the most first.
+// Run shows the tenants with a quota, sorted by their number of requests, highest first.
 func (c *tenantsCommand) Run(output *streams) error {
 	found, err := askTenants(c.Node, c.Timeout)
 	if err != nil {
@@ -54,17 +55,18 @@
 	return nil
 }
 
-// askTenants asks one process for the members, and each of them for its quotas.
+// askTenants asks the process at address for the members, and then each member for its
+// quotas.
 func askTenants(address string, timeout time.Duration) (meshTenants, error) {
 	first, err := askStatus(address, timeout)
 	if err != nil {
 		return meshTenants{}, err
 	}
-	return sumOf(first.Members, askMembers[wire.Tenants](first.Members, wire.PathTenants, timeout)), nil
+	return sumTenants(first.Members, askMembers[wire.Tenants](first.Members, wire.PathTenants, timeout)), nil
 }
 
-// sumOf adds up the answers of members, nil for those that did not answer.
-func sumOf(members []membership.Member, answers []*wire.Tenants) meshTenants {
+// sumTenants sums the answers of members. Members that did not answer have nil.
+func sumTenants(members []membership.Member, answers []*wire.Tenants) meshTenants {
 	found := meshTenants{}
 	byName := map[string]*tenantUse{}
 	for i, member := range members {
@@ -92,8 +94,8 @@
 	return found
 }
 
-// addState adds what one process knows of a tenant. Of the shares that processes admit,
-// the lowest one is shown.
+// addState adds the state of a tenant at one process. The admitted share of the sum is the
+// lowest of all processes.
 func addState(byName map[string]*tenantUse, state quota.State) {
 	use, exists := byName[state.Tenant]
 	if !exists {
--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -10,7 +10,7 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-func TestUseOfAllProcessesIsAddedUp(t *testing.T) {
+func TestTenantUseIsSummed(t *testing.T) {
 	is := is.New(t)
 	members := []membership.Member{{ID: "a"}, {ID: "b"}, {ID: "silent"}, {ID: "gone", Status: membership.Dead}}
 	state := func(tenant string, admitted, refused int, admit float64) quota.State {
@@ -22,10 +22,10 @@
 		nil,
 		nil,
 	}
-	found := sumOf(members, answers)
+	found := sumTenants(members, answers)
 	is.Equal(found.Answered, 2)
 	is.Equal(found.CutOff, 1)
-	is.Equal(found.Silent, 1) // one that is dead is not expected to answer
+	is.Equal(found.Silent, 1) // dead members are not expected to answer
 	is.Equal(found.Tenants, []tenantUse{
 		{State: state("large", 50, 5, 0.25), Throttled: 2},
 		{State: state("small", 3, 0, 1)},
