--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
 // Package daemon runs a loomcleat process under a kratos application.
 //
-// It owns which adapter the settings ask for (the store of the users' platform, or one that
-// speaks Consul's HTTP API), signals, the orderly stop, and reading the settings anew while
-// the process runs. It relies on package kernel for the process itself, and imports all
-// plug-ins.
+// It selects the adapters that the settings name (the store of the users' platform, or one
+// with Consul's HTTP API), handles signals and the graceful stop, and reloads the settings
+// while the process runs. It relies on package kernel for the process itself, and imports
+// all plug-ins.
 package daemon
 
 import (
@@ -23,19 +23,19 @@
 	"github.com/loomcleat/loomcleat/settings"
 	"github.com/loomcleat/loomcleat/store/consulkv"
 
-	_ "github.com/loomcleat/loomcleat/plugin/all" // the whole chain
+	_ "github.com/loomcleat/loomcleat/plugin/all" // registers all plug-ins
 )
 
-// stopMargin is added to the announce and drain times before the application
-// gives up on an orderly stop. The process ends well before; this is for one that hangs.
+// stopMargin is added to the announce and drain times to get the stop timeout of the
+// application. Only a process that hangs reaches it.
 const stopMargin = 10 * time.Second
 
-// Open makes a Process with the adapters that its settings name.
+// Open creates a Process with the adapters that its settings name.
 func Open(s settings.Settings, log *event.Logger) (*kernel.Process, error) {
 	return open(kernel.Options{Settings: s, Log: log})
 }
 
-// OpenWithDial makes a Process that reaches others through dial.
+// OpenWithDial creates a Process that opens connections to other processes with dial.
 func OpenWithDial(s settings.Settings, log *event.Logger, dial kernel.DialFunc) (*kernel.Process, error) {
 	return open(kernel.Options{Settings: s, Log: log, Dial: dial})
 }
@@ -55,7 +55,7 @@
 	return kernel.New(options)
 }
 
-// usePlatform connects a process to the users' platform.
+// usePlatform sets the adapters for the users' platform.
 func usePlatform(options *kernel.Options) {
 	client := platform.NewClient(platform.Config{Address: options.Settings.Store})
 	options.Store = client
@@ -65,7 +65,7 @@
 	options.Endpoints = platform.Endpoints(options.Settings)
 }
 
-// NewLogger returns the logger that the settings ask for.
+// NewLogger returns a logger with the level and format of the settings.
 func NewLogger(s settings.Settings, output io.Writer) *event.Logger {
 	return event.NewLogger(event.Options{
 		Output: output,
@@ -75,24 +75,24 @@
 	})
 }
 
-// Bounds of the log of a process. Estimates.
+// Bounds of the log of a process.
 const (
-	// logQueue is the number of lines that may wait for a reader. Further ones are dropped.
-	logQueue = 1024
-	// flushTime is how long an ending process waits for the reader.
-	flushTime = 200 * time.Millisecond
+	// logQueueLength is the number of lines queued while standard output is blocked. Further
+	// lines are dropped.
+	logQueueLength = 1024
+	// flushTimeout bounds the time for which a stopping process waits to write queued lines.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// Run runs a process until it is told to stop by SIGTERM or SIGINT. Its settings
-// are those of the source, which is read again on SIGHUP and when its file
-// changes.
+// Run runs a process until it receives SIGTERM or SIGINT. It loads the settings from
+// source, and reloads them on SIGHUP and when the settings file changes.
 func Run(source Source) error {
 	s, err := source.Load()
 	if err != nil {
 		return err
 	}
-	output := event.NewQueueWriter(os.Stdout, logQueue)
-	defer output.Flush(flushTime)
+	output := event.NewQueueWriter(os.Stdout, logQueueLength)
+	defer output.Flush(flushTimeout)
 	log := NewLogger(s, output)
 	UseLibraryLog(log)
 	process, err := Open(s, log)
@@ -105,23 +105,23 @@
 	return RunServers(announce+drain+stopMargin, process)
 }
 
-// RunServers runs servers in one application until SIGTERM or SIGINT.
-func RunServers(patience time.Duration, list ...transport.Server) error {
+// RunServers runs servers in one application until it receives SIGTERM or SIGINT. The
+// servers then have stopTimeout to stop.
+func RunServers(stopTimeout time.Duration, list ...transport.Server) error {
 	app := kratos.New(
 		kratos.Name("loomcleat"),
 		kratos.Server(list...),
 		kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
-		kratos.StopTimeout(patience),
+		kratos.StopTimeout(stopTimeout),
 	)
 	return app.Run()
 }
 
-// libraryLog passes messages of kratos on as numbered events.
+// libraryLog logs warnings and errors of kratos as numbered events.
 type libraryLog struct {
 	log *event.Logger
 }
 
-// Log implements the Logger of kratos.
 func (l libraryLog) Log(level kratoslog.Level, pairs ...any) error {
 	if level >= kratoslog.LevelWarn {
 		l.log.Emit(event.LibraryMessage, append([]any{"library_level", level.String()}, pairs...)...)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// UseLibraryLog makes kratos log through log. It is global to the program.
+// UseLibraryLog makes kratos log to log, in the whole program.
 func UseLibraryLog(log *event.Logger) {
 	kratoslog.SetLogger(libraryLog{log: log})
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -14,9 +14,9 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// TestNamesOfMetrics lists the metrics of a node with their labels: dashboards and alerts
-// are written against them.
-func TestNamesOfMetrics(t *testing.T) {
+// TestMetricNames guards against changes to metric names and labels that dashboards and
+// alerts use.
+func TestMetricNames(t *testing.T) {
 	is := is.New(t)
 	s := settings.Default(settings.RoleNode)
 	s.Service, s.Backend = "booking", "127.0.0.1:1"
@@ -24,14 +24,14 @@
 	process, err := Open(s, event.Discard())
 	is.NoErr(err)
 	defer process.Kill()
-	golden.Text(t, "metrics.txt", []byte(strings.Join(described(process.Metrics), "\n")+"\n"))
+	golden.Text(t, "metrics.txt", []byte(strings.Join(descriptionsOf(process.Metrics), "\n")+"\n"))
 }
 
-// helpText is what may be said better.
+// helpText matches help texts, which may change.
 var helpText = regexp.MustCompile(`help: ".*", `)
 
-// described lists the registered metrics without their help texts.
-func described(registry *prometheus.Registry) []string {
+// descriptionsOf lists the descriptions of registered metrics without their help texts.
+func descriptionsOf(registry *prometheus.Registry) []string {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		registry.Describe(descriptions)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,7 +13,7 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// Source is where the settings of a process come from.
+// Source is the source of the settings of a process.
 type Source struct {
 	// File is the settings file, empty for none.
 	File string
@@ -21,12 +21,12 @@
 	Load func() (settings.Settings, error)
 }
 
-// fileInterval is the time between two looks at the settings file, which may
-// change without a signal.
-const fileInterval = 2 * time.Second
+// filePollInterval is the time between two polls of the settings file, which may change
+// without a signal.
+const filePollInterval = 2 * time.Second
 
-// reloader reads the settings again when it is told to or when their file has
-// changed. What is wrong with them never ends the process.
+// reloader reloads the settings on SIGHUP and when their file has changed. Invalid
+// settings are logged and not applied; the process keeps running with the current ones.
 type reloader struct {
 	source  Source
 	current settings.Settings
@@ -35,47 +35,50 @@
 	apply   func(settings.Settings)
 }
 
-// newReloader returns a reloader of a process that was opened with the settings.
+// newReloader returns a reloader for a process and the settings with which it was opened.
 func newReloader(source Source, opened settings.Settings, process *kernel.Process, log *event.Logger) *reloader {
 	r := &reloader{source: source, current: opened, log: log}
 	r.apply = func(loaded settings.Settings) {
 		log.SetLevel(loaded.Log.Level)
 		process.Reload(loaded.Seeds)
 	}
-	r.stamp = r.look()
+	r.stamp = r.currentStamp()
 	return r
 }
 
-// fileStamp tells versions of a file apart.
+// fileStamp identifies a version of the settings file.
 type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-func (r *reloader) look() fileStamp {
+// currentStamp returns the current stamp of the settings file, or the last one if the file cannot
+// be read.
+func (r *reloader) currentStamp() fileStamp {
 	if r.source.File == "" {
 		return fileStamp{}
 	}
 	info, err := os.Stat(r.source.File)
 	if err != nil {
-		return r.stamp // it may be on its way to its place
+		return r.stamp // the file may be about to be replaced
 	}
 	return fileStamp{modified: info.ModTime(), size: info.Size()}
 }
 
-// run reloads until ctx ends. SIGHUP would end a process that does not ask for it.
+// run reloads the settings on SIGHUP and on changes of the file until ctx ends. Handling
+// SIGHUP also keeps it from ending the process, which is the default.
 func (r *reloader) run(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(fileInterval)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-hangups:
 			r.reload()
 		case <-ticker.C:
-			if r.look() != r.stamp {
+			if r.currentStamp() != r.stamp {
 				r.reload()
 			}
 		case <-ctx.Done():
@@ -84,16 +87,16 @@
 	}
 }
 
-// reload reads the settings and puts in force what can be without a restart.
+// reload reads the settings and applies those that can change without a restart.
 func (r *reloader) reload() {
-	r.stamp = r.look()
+	r.stamp = r.currentStamp()
 	loaded, err := r.source.Load()
 	if err != nil {
 		r.log.Emit(event.ReloadFailed, "file", r.source.File, "code", int(result.From(err).Code), "error", err)
 		return
 	}
-	changed, waiting := settings.Compare(r.current, loaded)
+	changed, afterRestart := settings.Compare(r.current, loaded)
 	r.apply(loaded)
 	r.current = loaded
-	r.log.Emit(event.SettingsReloaded, "file", r.source.File, "changed", changed, "after_restart", waiting)
+	r.log.Emit(event.SettingsReloaded, "file", r.source.File, "changed", changed, "after_restart", afterRestart)
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -27,14 +27,14 @@
 		log:     event.NewLogger(event.Options{Output: &output, Level: "info", JSON: true}),
 		apply:   func(s settings.Settings) { applied = s },
 	}
-	r.stamp = r.look()
-	is.Equal(r.look(), r.stamp)
+	r.stamp = r.currentStamp()
+	is.Equal(r.currentStamp(), r.stamp)
 	is.NoErr(os.WriteFile(file, []byte("zone: z1\nseeds: [127.0.0.1:7]\n"), 0o600))
-	is.True(r.look() != r.stamp) // seen without a signal
+	is.True(r.currentStamp() != r.stamp) // the change is detected without a signal
 
 	failure = errors.New("bad")
 	r.reload()
-	is.Equal(applied.Role, settings.Role("")) // nothing was put in force
+	is.Equal(applied.Role, settings.Role("")) // nothing was applied
 	is.True(strings.Contains(output.String(), "reload-failed"))
 
 	failure = nil
@@ -43,5 +43,5 @@
 	is.Equal(applied.Seeds, next.Seeds)
 	is.True(strings.Contains(output.String(), `"changed":["seeds"]`))
 	is.NoErr(os.Remove(file))
-	is.Equal(r.look(), r.stamp) // a file that is away for a moment is no change
+	is.Equal(r.currentStamp(), r.stamp) // a missing file is not a change
 }
