--- a/internal/labcli/golden_test.go
+++ b/internal/labcli/golden_test.go
@@ -10,7 +10,8 @@
 	"github.com/loomcleat/loomcleat/internal/golden"
 )
 
-// TestCommandsAndFlags: those that CI and the pages call.
+// TestCommandsAndFlags guards against changes to commands and flags that CI and the
+// documentation use.
 func TestCommandsAndFlags(t *testing.T) {
 	is := is.New(t)
 	parser, err := kong.New(&commandLine{}, kong.Name("loomcleat-lab"))
--- a/internal/labcli/labcli.go
+++ b/internal/labcli/labcli.go
@@ -1,5 +1,5 @@
-// Package labcli is the command line of loomcleat-lab. None of it is needed in
-// production.
+// Package labcli implements the command line of loomcleat-lab, which replays traces and
+// runs soak tests. It is not needed in production.
 package labcli
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandLine is the grammar of the command line.
+// commandLine defines the commands for kong.
 type commandLine struct {
 	Replay replayCommand `cmd:"" help:"Play recorded traces through the decision code."`
 	Soak   soakCommand   `cmd:"" help:"Run real processes under faults and check the promises."`
@@ -20,7 +20,7 @@
 	var grammar commandLine
 	exited := false
 	parser, err := kong.New(&grammar, kong.Name("loomcleat-lab"), kong.UsageOnError(),
-		kong.Description("Recorded traces and soaks for loomcleat. Not needed in production."),
+		kong.Description("Trace replays and soak tests for loomcleat. Not needed in production."),
 		kong.Exit(func(int) { exited = true }))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "loomcleat-lab:", err)
--- a/internal/labcli/replay.go
+++ b/internal/labcli/replay.go
@@ -10,7 +10,7 @@
 	Files []string `arg:"" help:"Traces (YAML)." type:"existingfile"`
 }
 
-// Run plays traces and fails when one leads to another outcome than it states.
+// Run replays traces. It fails if the outcome of a trace differs from the expected one.
 func (c *replayCommand) Run() error {
 	failed := 0
 	for _, file := range c.Files {
@@ -32,7 +32,7 @@
 		fmt.Printf("%s: as stated (%s)\n", file, trace.Name)
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d traces did not lead to what they state", failed, len(c.Files))
+		return fmt.Errorf("%d of %d traces did not lead to the expected outcome", failed, len(c.Files))
 	}
 	return nil
 }
--- a/internal/labcli/soak.go
+++ b/internal/labcli/soak.go
@@ -24,7 +24,7 @@
 	Verbose bool          `help:"Tell each fault on standard error." short:"v"`
 }
 
-// Run soaks seed after seed. It fails when a promise was broken.
+// Run runs a soak for each seed. It fails if a soak broke a promise.
 func (c *soakCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -47,7 +47,7 @@
 			continue
 		}
 		if c.Folder == "" {
-			_ = os.RemoveAll(folder) // what is left of it does no harm
+			_ = os.RemoveAll(folder) // leftover files do no harm
 		}
 	}
 	if broken > 0 {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// folderOf returns the folder of a seed.
+// folderOf creates and returns the folder of a seed.
 func (c *soakCommand) folderOf(seed uint64) (string, error) {
 	if c.Folder == "" {
 		return os.MkdirTemp("", fmt.Sprintf("loomcleat-soak-%d-", seed))
