--- a/internal/golden/commands.go
+++ b/internal/golden/commands.go
@@ -7,8 +7,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Commands lists the commands of a program with their arguments and flags, without the
-// help texts.
+// Commands lists the commands of a program with their arguments and flags, without help
+// texts.
 func Commands(node *kong.Node) string {
 	list := &strings.Builder{}
 	addCommand(list, node)
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Filled returns a value in which every exported field, down to the innermost one, has a
-// value of its own, which follows from the order of the fields.
+// Filled returns a value in which every exported field, including those of nested values,
+// is set. Values are derived from the order of the fields and differ where the type permits.
 func Filled[T any]() T {
 	var value T
 	count := 0
@@ -16,14 +16,14 @@
 	return value
 }
 
-// firstTime is the time from which on fields of type time.Time are set.
+// firstTime is the base to which fields of type time.Time add their number in seconds.
 var firstTime = time.Date(2026, 1, 2, 3, 4, 0, 0, time.UTC)
 
-// fewNames is above the largest number of a type whose values are written as names, such as
-// the classes of the policy.
-const fewNames = 4
+// nameCount bounds the values of integer types that are encoded as names, such as the classes
+// of the policy: 0 to nameCount-1 are valid for each of them.
+const nameCount = 4
 
-// fill sets a value. count is the number of values that were set before.
+// fill sets a value and the values nested in it. count is the number of values set so far.
 func fill(value reflect.Value, count *int) {
 	instant, isTime := value.Addr().Interface().(*time.Time)
 	if isTime || value.Kind() != reflect.Struct {
@@ -67,8 +67,8 @@
 	case value.Type() == reflect.TypeFor[time.Duration](), isText && kind == reflect.Int64:
 		value.SetInt(int64(seconds)) // a duration
 	case isText:
-		value.SetInt(int64(*count % fewNames))
+		value.SetInt(int64(*count % nameCount))
 	default:
-		value.SetInt(int64(*count)) // panics for a kind that no message has
+		value.SetInt(int64(*count)) // panics for kinds that messages do not use
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,9 +1,9 @@
-// Package golden compares what the code writes with files in testdata that were written
-// by an earlier version: the wire, stored data, settings and output that operators rely
-// on must stay as they are, byte for byte.
+// Package golden compares output of the code with golden files in testdata, written by an
+// earlier version. It guards messages on the wire, stored data, settings and command
+// output, which must not change by a single byte.
 //
-// A file that does not exist yet is written and the test fails, so that the file is read
-// before it is committed. Files that exist are never written.
+// If a golden file does not exist, it is written and the test fails, so that the file is
+// reviewed before it is committed. Existing files are never overwritten.
 package golden
 
 import (
@@ -14,24 +14,24 @@
 	"testing"
 )
 
-// folder holds the files, relative to the package under test.
+// folder is the folder of golden files, relative to the package under test.
 const folder = "testdata/golden"
 
-// Text checks that got is what the file holds.
+// Text checks that got equals the content of a golden file.
 func Text(t *testing.T, file string, got []byte) {
 	t.Helper()
 	want := read(t, file, got)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s holds\n%s\nbut the code wrote\n%s", file, want, got)
+		t.Errorf("%s: want\n%s\ngot\n%s", file, want, got)
 	}
 }
 
-// Message checks the JSON of a type: a value in which every field is set and the zero
-// value are written as the two lines of the file, and both lines are read and written
+// Message checks the JSON encoding of a type. The golden file has two lines: a value in
+// which every field is set, and the zero value. Both lines must also decode and encode
 // again without a difference.
 //
-// The values follow the order of the fields and not their names, so that a field may be
-// renamed in Go but neither its key nor its type nor its place in the JSON may change.
+// The set values depend on the order of the fields, not on their names. A field may be
+// renamed in Go, but its key, type and position in the JSON must not change.
 func Message[T any](t *testing.T, file string) {
 	t.Helper()
 	lines := []byte{}
@@ -42,11 +42,11 @@
 	for _, line := range bytes.Split(bytes.TrimSpace(lines), []byte("\n")) {
 		var decoded T
 		if err := json.Unmarshal(line, &decoded); err != nil {
-			t.Errorf("%s: %s is not read: %v", file, line, err)
+			t.Errorf("%s: decoding %s: %v", file, line, err)
 			continue
 		}
 		if again := encode(t, decoded); !bytes.Equal(again, line) {
-			t.Errorf("%s: %s becomes %s once it was read", file, line, again)
+			t.Errorf("%s: %s became %s after decoding and encoding", file, line, again)
 		}
 	}
 }
@@ -60,7 +60,8 @@
 	return data
 }
 
-// read returns what a file holds. One that does not exist is written.
+// read returns the content of a golden file. If the file does not exist, read writes got
+// to it and marks the test as failed.
 func read(t *testing.T, file string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join(folder, file)
