--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,5 +1,5 @@
-// Package freeport finds loopback addresses for the listeners of processes that a test or
-// a soak starts.
+// Package freeport finds free loopback addresses for the listeners of processes that a
+// test or soak starts.
 package freeport
 
 import (
@@ -10,23 +10,24 @@
 	"sync/atomic"
 )
 
-// Ports are taken from below the range from which the system takes ports for outgoing
-// connections: a port from that range that is free now may be in use when the process
-// binds it, or binds it again.
+// Ports are below the kernel's range of ephemeral ports. A port of that range could be
+// taken by an outgoing connection before the process binds it, or between two binds.
 const (
 	firstPort = 20000
 	lastPort  = 32000
-	// portsPerProcess spreads the searches of processes that run at the same time.
+	// portsPerProcess is the distance between the first ports of processes with
+	// consecutive process IDs, so that concurrent processes try different ports.
 	portsPerProcess = 64
 )
 
 var next atomic.Int64
 
 // ErrNone is returned when no port is free.
-var ErrNone = errors.New("no port is free")
+var ErrNone = errors.New("no free port between 20000 and 32000")
 
-// Address returns a loopback address on which nothing listens now, and which it has not
-// returned lately.
+// Address returns a loopback address on which nothing listens. Within a process, it
+// does not return an address again until it has tried all other ports. It returns
+// ErrNone if no port is free.
 func Address() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + (int64(os.Getpid())*portsPerProcess+next.Add(1))%(lastPort-firstPort)
