--- a/cmd/loomcleat-lab/main.go
+++ b/cmd/loomcleat-lab/main.go
@@ -1,4 +1,5 @@
-// Command loomcleat-lab plays recorded traces and soaks real processes under faults.
+// Command loomcleat-lab replays recorded traces and runs soak tests with real processes
+// under faults.
 package main
 
 import (
--- a/cmd/loomcleat/main.go
+++ b/cmd/loomcleat/main.go
@@ -1,4 +1,5 @@
-// Command loomcleat runs the processes of a mesh and edits its policy tree.
+// Command loomcleat runs the processes of a mesh, edits its policy tree and shows its
+// state.
 package main
 
 import (
