--- a/clock/suspended.go
+++ b/clock/suspended.go
@@ -10,9 +10,9 @@
 	"github.com/loomcleat/loomcleat/clock/internal/override"
 )
 
-// offsetFileVariable is the environment variable with the path of a file that holds the simulated
-// time of suspension, in nanoseconds. Only programs built with the tag suspendedclock, for
-// tests, read it.
+// offsetFileVariable is the environment variable with the path of a file that holds the
+// simulated time of suspension, in nanoseconds. Only programs built with the tag
+// suspendedclock, for tests, read it.
 const offsetFileVariable = "LOOMCLEAT_TEST_SUSPENDED"
 
 func init() {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -52,8 +52,8 @@
 	size     int64
 }
 
-// currentStamp returns the current stamp of the settings file, or the last one if the file cannot
-// be read.
+// currentStamp returns the stamp of the settings file as it is now, or the last one if the
+// file cannot be read.
 func (r *reloader) currentStamp() fileStamp {
 	if r.source.File == "" {
 		return fileStamp{}
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -23,8 +23,8 @@
 	// it tried, which show the state in which it decided. Only the last line of each
 	// event and process is included.
 	Context []Record `json:"Beliefs"`
-	// OtherRequests are the names of other requests with the same signature, in the order of the
-	// logs. They are usually retries by the same client.
+	// OtherRequests are the names of other requests with the same signature, in the order
+	// of the logs. They are usually retries by the same client.
 	OtherRequests []string `json:"Tries"`
 	// Crashes are the lines about back ends that crashed with a request of this signature
 	// in flight, and about the quarantine of the signature.
@@ -54,9 +54,9 @@
 	}, nil
 }
 
-// newUserRequestReport explains all calls of a user request, identified by the name that the
-// mesh gave it. Callers that do not name their requests find that name in the logs. The
-// deepest calls come first.
+// newUserRequestReport explains all calls of a user request, identified by the name that
+// the mesh gave it. Callers that do not name their requests find that name in the logs.
+// The deepest calls come first.
 func newUserRequestReport(lines *index, name string) (Report, error) {
 	steps := []Step{}
 	for _, record := range lines.records {
--- a/transport/exchange/conn.go
+++ b/transport/exchange/conn.go
@@ -30,7 +30,7 @@
 	headBudget       int64         // remaining bytes allowed before the body
 	reader           *bufio.Reader // nil between exchanges
 	stopContextWatch func() bool   // unregisters the close on the end of the context
-	sent             chan error    // result of writing the request in the background; nil if it is written synchronously
+	sent             chan error    // result of a background write; nil if the write is synchronous
 }
 
 // Bounds of an exchange.
