--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,24 +13,22 @@
 	Output  string   `help:"text or json." enum:"text,json" default:"text"`
 }
 
-// Run tells the story of a request.
 func (c *explainCommand) Run(output *streams) error {
 	records, err := c.read()
 	if err != nil {
 		return err
 	}
-	story, err := explain.Tell(records, c.Request)
+	report, err := explain.NewReport(records, c.Request)
 	if err != nil {
 		return err
 	}
 	if c.Output == "json" {
-		return printJSON(output.out, story)
+		return printJSON(output.out, report)
 	}
-	story.Print(output.out)
+	report.Print(output.out)
 	return nil
 }
 
-// read reads all logs.
 func (c *explainCommand) read() (records []explain.Record, err error) {
 	if len(c.Logs) == 0 {
 		return explain.Append(nil, "standard-input", os.Stdin)
@@ -46,7 +44,7 @@
 func appendLog(records []explain.Record, name string) ([]explain.Record, error) {
 	file, err := os.Open(name)
 	if err != nil {
-		return nil, result.Wrap(result.NotFound, err, "the log %s", name)
+		return nil, result.Wrap(result.NotFound, err, "opening log %s", name)
 	}
 	defer file.Close()
 	return explain.Append(records, name, file)
