--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -119,8 +119,8 @@
 	return f.activeFaults == 0 && time.Since(f.lastFault) > settleTime
 }
 
-// Ran implements platformbackend.Observer.
-func (f *fleet) Ran(requestID, instance string) {
+// RequestStarted implements platformbackend.Observer.
+func (f *fleet) RequestStarted(requestID, instance string) {
 	f.checker.Ran(time.Now(), requestID, instance, f.settled())
 }
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// Closed implements platformbackend.Observer.
-func (f *fleet) Closed(instance string) { f.checker.Closed(time.Now(), instance) }
+// DrainAcknowledged implements platformbackend.Observer.
+func (f *fleet) DrainAcknowledged(instance string) { f.checker.Closed(time.Now(), instance) }
 
 // restartNode starts the process of a node again, unless the soak ends.
 func (f *fleet) restartNode(n *node) {
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -72,15 +72,15 @@
 		outbound: free[1],
 	}
 	n.backend = platformbackend.New(platformbackend.Config{
-		Service:    service,
-		Address:    free[0],
-		Outbound:   n.outbound,
-		Heartbeats: free[3],
-		Host:       host,
-		Slots:      backendSlots,
-		Work:       backendWork,
-		Beat:       backendBeat,
-		Observer:   observer,
+		Service:           service,
+		Address:           free[0],
+		OutboundAddress:   n.outbound,
+		HeartbeatAddress:  free[3],
+		Host:              host,
+		Slots:             backendSlots,
+		WorkTime:          backendWork,
+		HeartbeatInterval: backendBeat,
+		Observer:          observer,
 	})
 	lines := []string{
 		"id: " + name, "service: " + service, "backend: " + free[0], "outbound: " + n.outbound, "entry: true",
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -16,63 +16,64 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// Request headers that tell the stand-in what to do.
+// Request headers that control the stub.
 const (
-	HeaderStatus = "X-Stub-Status" // answer with this status
-	HeaderBytes  = "X-Stub-Bytes"  // answer with a body of this many bytes
-	HeaderCut    = "X-Stub-Cut"    // break the connection in the middle of the body
-	HeaderPause  = "X-Stub-Pause"  // wait this long in the middle of the body
-	HeaderDelay  = "X-Stub-Delay"  // work this much longer
-	HeaderTag    = "X-Stub-Tag"    // kept in the record and passed on to calls
-	HeaderChunks = "X-Stub-Chunks" // send the body in chunks of unknown total
+	HeaderStatus = "X-Stub-Status" // Status of the response.
+	HeaderBytes  = "X-Stub-Bytes"  // Size of the response body in bytes.
+	HeaderCut    = "X-Stub-Cut"    // Close the connection in the middle of the body.
+	HeaderPause  = "X-Stub-Pause"  // Pause for this duration in the middle of the body.
+	HeaderDelay  = "X-Stub-Delay"  // Work for this duration in addition to that of the route.
+	HeaderTag    = "X-Stub-Tag"    // Recorded with the run and passed on to calls.
+	HeaderChunks = "X-Stub-Chunks" // Send the body in chunks, without Content-Length.
 )
 
-// Answer headers that tell what the stand-in saw.
+// Response headers with the request as the stub received it.
 const (
 	HeaderSeenTarget = "X-Seen-Target"
 	HeaderSeenHost   = "X-Seen-Host"
 	HeaderSeenMethod = "X-Seen-Method"
 )
 
-// streamedSize is the size from which on bodies are echoed while they arrive.
+// streamedSize is the size in bytes up to which a request body is read completely first.
+// Larger bodies, and those of unknown size, are echoed while they arrive.
 const streamedSize = 64 << 10
 
-// HealthPath is the path on which the stand-in says that it is draining.
+// HealthPath is the path of the health check. It responds with status 503 while draining.
 const HealthPath = "/_stub/health"
 
-// Run is one request that the stand-in ran.
+// Run is a request that the stub ran.
 type Run struct {
 	Tag    string
 	Method string
 	Target string
-	Key    string // Idempotency-Key
+	Key    string // Value of the Idempotency-Key header.
 }
 
-// Faults says how the stand-in misbehaves. The zero value is a healthy one.
+// Faults are the faults that the stub injects. The zero value injects none.
 type Faults struct {
-	FailShare float64 // share of requests that fail after they ran
-	CutShare  float64 // share whose answer is cut off after they ran
-	Draining  bool    // says so on the health path
+	FailShare float64 // Share of requests, 0 to 1, that fail after they ran, unless cut.
+	CutShare  float64 // Share of requests, 0 to 1, whose connection is closed after they ran.
+	Draining  bool    // The health check reports draining.
 }
 
 // Config configures a Backend.
 type Config struct {
 	Service Service
-	// Address is where it listens, IP:port. Default a free port of 127.0.0.1.
+	// Address to listen at, IP:port. Default: a free port of 127.0.0.1.
 	Address string
-	// Outbound is the address of its node, for calls. SetOutbound sets it later.
+	// Outbound is the address of the node that calls are sent to. SetOutbound changes it.
 	Outbound string
-	// KeepRecord keeps each run in memory.
+	// KeepRecord records each run in memory, for Runs.
 	KeepRecord bool
 }
 
-// Backend is a stand-in that serves.
+// Backend is a running stub.
 type Backend struct {
-	service Service
-	keep    bool
-	client  *http.Client
-	server  *http.Server
-	slots   *serving.Slots
+	service    Service
+	keepRecord bool
+	client     *http.Client
+	server     *http.Server
+	slots      *serving.Slots
 
 	mutex    sync.Mutex
 	outbound string
@@ -80,19 +81,19 @@
 	faults   Faults
 }
 
-// Start starts a stand-in. It returns an error when a route of the service cannot be
-// parsed or the address is not free.
+// Start starts a stub. It returns an error if a route of the service cannot be parsed or
+// the address is in use.
 func Start(config Config) (*Backend, error) {
 	service := config.Service
 	if err := service.prepare(); err != nil {
 		return nil, err
 	}
 	b := &Backend{
-		service:  service,
-		keep:     config.KeepRecord,
-		client:   serving.NewClient(),
-		slots:    serving.NewSlots(service.Slots, service.Queue),
-		outbound: config.Outbound,
+		service:    service,
+		keepRecord: config.KeepRecord,
+		client:     serving.NewClient(),
+		slots:      serving.NewSlots(service.Slots, service.Queue),
+		outbound:   config.Outbound,
 	}
 	address := config.Address
 	if address == "" {
@@ -106,30 +107,30 @@
 	return b, nil
 }
 
-// Address returns where the stand-in listens.
+// Address returns the address that the stub listens at, IP:port.
 func (b *Backend) Address() string { return b.server.Addr }
 
-// Shutdown takes no new requests and waits until the others have ended, or ctx has.
+// Shutdown stops accepting requests and waits for those in flight, at most until ctx is done.
 func (b *Backend) Shutdown(ctx context.Context) error { return b.server.Shutdown(ctx) }
 
-// Close ends the stand-in at once.
+// Close stops the stub immediately and closes all connections.
 func (b *Backend) Close() { _ = b.server.Close() }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (b *Backend) SetFaults(faults Faults) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.faults = faults
 }
 
-// SetOutbound changes the address for calls.
+// SetOutbound changes the address that calls are sent to.
 func (b *Backend) SetOutbound(address string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.outbound = address
 }
 
-// Runs returns the record.
+// Runs returns the recorded runs in the order in which they began.
 func (b *Backend) Runs() []Run {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -142,20 +143,19 @@
 	return b.faults
 }
 
-// ServeHTTP implements http.Handler.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == HealthPath {
 		b.serveHealth(w)
 		return
 	}
 	if r.ContentLength >= 0 && r.ContentLength <= streamedSize {
-		data, err := io.ReadAll(r.Body) // the server would discard it at the first byte of the answer
+		data, err := io.ReadAll(r.Body) // The server would discard it at the first byte of the response.
 		if err != nil {
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(data))
 	} else {
-		_ = http.NewResponseController(w).EnableFullDuplex() // echo while the request is open
+		_ = http.NewResponseController(w).EnableFullDuplex() // Echo the body while it arrives.
 		defer func() { _, _ = io.Copy(io.Discard, r.Body) }()
 	}
 	release, ok := b.slots.Take(r.Context())
@@ -170,7 +170,7 @@
 	b.work(r, route)
 	if status, outcome := b.makeCalls(r, route); status != 0 {
 		if outcome != "" {
-			w.Header().Set(result.HeaderOutcome, outcome) // as a careless back end would
+			w.Header().Set(result.HeaderOutcome, outcome) // Copied from the failed call, as a careless back end would.
 		}
 		http.Error(w, "a call of this back end failed", status)
 		return
@@ -188,7 +188,7 @@
 func (b *Backend) record(r *http.Request) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.keep {
+	if b.keepRecord {
 		b.runs = append(b.runs, Run{
 			Tag:    r.Header.Get(HeaderTag),
 			Method: r.Method,
@@ -198,7 +198,7 @@
 	}
 }
 
-// work takes the time of the route. It ends early when the caller cancels.
+// work waits for the working time of the route, or until the caller cancels.
 func (b *Backend) work(r *http.Request, route *Route) {
 	wait := route.Work
 	if extra, err := time.ParseDuration(r.Header.Get(HeaderDelay)); err == nil {
@@ -215,8 +215,8 @@
 	}
 }
 
-// makeCalls makes the calls of the route. It returns the status of the first
-// that failed, 0 for none, and the outcome header that came with it.
+// makeCalls makes the calls of the route, stage by stage, until one fails. It returns the
+// status and the outcome header of the first failed call, or status 0.
 func (b *Backend) makeCalls(r *http.Request, route *Route) (status int, outcome string) {
 	for _, stage := range route.Stages {
 		failures := make(chan *http.Response, len(stage))
@@ -238,7 +238,7 @@
 	return 0, ""
 }
 
-// call makes one call and returns the response when it failed.
+// call makes one call. It returns the response if the call failed, and nil otherwise.
 func (b *Backend) call(r *http.Request, call Call) *http.Response {
 	b.mutex.Lock()
 	outbound := b.outbound
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// answer echoes the body of the request, or sends what the headers ask for.
+// answer echoes the body of the request, or sends a body of the size in HeaderBytes.
 func (b *Backend) answer(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(HeaderSeenTarget, r.RequestURI)
 	w.Header().Set(HeaderSeenHost, r.Host)
@@ -272,8 +272,8 @@
 		w.Header().Set(HeaderTag, tag)
 	}
 	status := http.StatusOK
-	if wanted, err := strconv.Atoi(r.Header.Get(HeaderStatus)); err == nil {
-		status = wanted
+	if requested, err := strconv.Atoi(r.Header.Get(HeaderStatus)); err == nil {
+		status = requested
 	}
 	size, err := strconv.Atoi(r.Header.Get(HeaderBytes))
 	if err != nil {
@@ -284,7 +284,7 @@
 	b.sendBytes(w, r, status, size)
 }
 
-// sendBytes sends a body of the given size, whole or cut.
+// sendBytes sends a body of the given size, cut off or paused in the middle on request.
 func (b *Backend) sendBytes(w http.ResponseWriter, r *http.Request, status, size int) {
 	if r.Header.Get(HeaderChunks) == "" {
 		w.Header().Set("Content-Length", strconv.Itoa(size))
@@ -305,12 +305,11 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// flushWriter sends each piece at once, so that streams pass through.
+// flushWriter flushes after each write, so that the echo isn't buffered.
 type flushWriter struct {
 	w http.ResponseWriter
 }
 
-// Write implements io.Writer.
 func (f flushWriter) Write(data []byte) (int, error) {
 	n, err := f.w.Write(data)
 	_ = http.NewResponseController(f.w).Flush()
--- a/internal/standin/backend/graph.go
+++ b/internal/standin/backend/graph.go
@@ -1,8 +1,7 @@
-// Package backend is a stand-in for a back end: it has slots and a queue, makes
-// the calls that a call graph describes, keeps a record of what it ran, and can
-// be told to misbehave. Request headers tell it what to answer. It owns its listener
-// from Start until Shutdown or Close, and relies on package serving. The demo and the
-// tests use it.
+// Package backend is a stub of a back end for the demo and the tests. It has slots and a
+// queue, makes the calls of a call graph, can record the requests it ran and can inject
+// faults. Request headers select the response. It owns its listener from Start until
+// Shutdown or Close and relies on package serving.
 package backend
 
 import (
@@ -11,21 +10,22 @@
 	"github.com/loomcleat/loomcleat/policy"
 )
 
-// Graph is the call graph of a mesh, by service.
+// Graph is the call graph of a mesh. Keys are names of services.
 type Graph map[string]Service
 
-// Service is what the back ends of one service do.
+// Service configures the back ends of one service.
 type Service struct {
-	Slots  int // requests worked on at once, 0: no limit
-	Queue  int // requests that may wait for a slot
+	Slots  int // Requests worked on at the same time. 0: no limit.
+	Queue  int // Requests that may wait for a slot.
 	Routes []Route
 }
 
-// Route is what happens for one kind of request. The first match counts.
+// Route describes the work and the calls for matching requests. The first matching route of
+// a service applies.
 type Route struct {
-	Match  string        // "METHOD /path" as in the policy tree
-	Work   time.Duration // own work
-	Stages [][]Call      // one after the other; the calls of a stage at once
+	Match  string        // Pattern "METHOD /path" as in the policy tree.
+	Work   time.Duration // Time that the back end works before it makes calls.
+	Stages [][]Call      // Stages run one after the other, the calls of a stage concurrently.
 
 	pattern policy.Pattern
 }
@@ -37,9 +37,9 @@
 	Path    string
 }
 
-// prepare parses the patterns of a service.
+// prepare parses the route patterns. It returns an error for an invalid pattern.
 func (s *Service) prepare() error {
-	s.Routes = append([]Route{}, s.Routes...) // the graph may be shared
+	s.Routes = append([]Route{}, s.Routes...) // Copied because the graph may be shared.
 	for i := range s.Routes {
 		pattern, err := policy.ParsePattern(s.Routes[i].Match)
 		if err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// find returns the route of a request, or one that does nothing.
+// find returns the first route that matches, or a route without work and calls.
 func (s *Service) find(method, path string) *Route {
 	for i := range s.Routes {
 		if s.Routes[i].pattern.Matches(method, path) {
--- a/internal/standin/consul/machines.go
+++ b/internal/standin/consul/machines.go
@@ -9,8 +9,8 @@
 	"github.com/loomcleat/loomcleat/store/consulkv"
 )
 
-// machineList keeps the catalog and the versions of it that are still to be
-// shown, so that answers lag behind registrations.
+// machineList is the catalog. It keeps earlier versions so that responses can lag behind
+// registrations.
 type machineList struct {
 	mutex    sync.Mutex
 	rows     map[string]consulkv.CatalogRow
@@ -22,7 +22,7 @@
 	rows []consulkv.CatalogRow
 }
 
-// put adds or replaces a row.
+// put adds a row or replaces the one with the same service id.
 func (m *machineList) put(now time.Time, row consulkv.CatalogRow) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -37,7 +37,7 @@
 	m.versions = append(m.versions, machineVersion{at: now, rows: rows})
 }
 
-// at returns the rows as they were at the given time and forgets older ones.
+// at returns the rows as they were at the given time and drops earlier versions.
 func (m *machineList) at(when time.Time) []consulkv.CatalogRow {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/standin/consul/server.go
+++ b/internal/standin/consul/server.go
@@ -1,6 +1,6 @@
-// Package consul is a stand-in for a key-value service and a machine list that speak
-// Consul's HTTP API, as far as package consulkv uses it. It owns the machine list; keys,
-// sessions and faults are those of package keyvalue.
+// Package consul is a stub of a key-value store and a machine list with the part of
+// Consul's HTTP API that package consulkv uses. It owns the machine list; package keyvalue
+// provides keys, sessions (as leases) and faults.
 package consul
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/loomcleat/loomcleat/internal/standin/keyvalue"
 )
 
-// Faults says how the stand-in misbehaves.
+// Faults are the faults that the stub injects.
 type Faults = keyvalue.Faults
 
-// Server is the stand-in. It keeps everything in memory.
+// Server is the stub. All data is in memory.
 type Server struct {
 	*keyvalue.Store
 	machines machineList
 }
 
-// NewServer returns an empty stand-in.
+// NewServer returns an empty store.
 func NewServer() *Server { return &Server{Store: keyvalue.New()} }
 
-// Handler serves the protocol.
+// Handler returns the handler of the API, with the active faults in front.
 func (s *Server) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /v1/kv/{key...}", s.getPair)
@@ -39,10 +39,10 @@
 
 const headerIndex = "X-Consul-Index"
 
-// longestWait is the time of a blocking query that names none.
-const longestWait = 5 * time.Minute
+// defaultWait is the time limit of a blocking query without a wait parameter.
+const defaultWait = 5 * time.Minute
 
-// kvRow is a row of the answer to GET /v1/kv.
+// kvRow is an entry in the response to GET /v1/kv.
 type kvRow struct {
 	Key         string
 	Value       []byte
@@ -70,17 +70,17 @@
 	keyvalue.WriteJSON(w, http.StatusOK, []kvRow{row})
 }
 
-// waitForChange lets a blocking query wait until the index of its key, or that of the
-// store while there is no such key, is above the one that it names.
+// waitForChange blocks a query with an index parameter until the index of its key is above
+// that index. For a key that does not exist the index of the store counts.
 func (s *Server) waitForChange(r *http.Request, key string) {
 	query := r.URL.Query()
 	index, err := strconv.ParseUint(query.Get("index"), 10, 64)
 	if err != nil || index == 0 {
-		return // no blocking query
+		return // Not a blocking query.
 	}
 	wait, err := time.ParseDuration(query.Get("wait"))
 	if err != nil {
-		wait = longestWait
+		wait = defaultWait
 	}
 	s.Wait(r, wait, func(data *keyvalue.Data) bool {
 		if found, exists := data.Items[key]; exists {
@@ -97,7 +97,7 @@
 		return
 	}
 	query := r.URL.Query()
-	session := sessionOf(query.Get("acquire"))
+	session := leaseOf(query.Get("acquire"))
 	written := false
 	s.Update(func(data *keyvalue.Data) {
 		found, exists := data.Items[r.PathValue("key")]
@@ -106,7 +106,7 @@
 		}
 		if query.Get("acquire") == "" {
 			session = found.Lease
-		} else if !data.Holds(session) || (found.Lease != 0 && found.Lease != session) {
+		} else if !data.LeaseActive(session) || (found.Lease != 0 && found.Lease != session) {
 			return
 		}
 		data.Put(keyvalue.Item{Key: r.PathValue("key"), Value: value, Lease: session})
@@ -115,17 +115,18 @@
 	_, _ = io.WriteString(w, strconv.FormatBool(written))
 }
 
-// matchesIndex reports whether a key has the index of a check-and-set; 0: no such key.
+// matchesIndex reports whether a key has the index of a check-and-set. Index 0 matches a key
+// that does not exist.
 func matchesIndex(index string, found keyvalue.Item, exists bool) bool {
-	wanted, err := strconv.ParseUint(index, 10, 64)
-	return err == nil && (wanted == 0) != exists && wanted == found.Revision
+	expected, err := strconv.ParseUint(index, 10, 64)
+	return err == nil && (expected == 0) != exists && expected == found.Revision
 }
 
-// sessionID returns the id of a session in the protocol.
+// sessionID returns the session id of a lease.
 func sessionID(lease int64) string { return strconv.FormatInt(lease, 10) }
 
-// sessionOf returns the lease of a session, 0 for an id that was never given.
-func sessionOf(id string) int64 {
+// leaseOf returns the lease of a session id, 0 if the id is not a number.
+func leaseOf(id string) int64 {
 	lease, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return 0
@@ -137,7 +138,7 @@
 	TTL string
 }
 
-type sessionAnswer struct {
+type sessionResponse struct {
 	ID string
 }
 
@@ -154,21 +155,21 @@
 	}
 	var lease int64
 	s.Update(func(data *keyvalue.Data) { lease = data.Grant(ttl) })
-	keyvalue.WriteJSON(w, http.StatusOK, sessionAnswer{ID: sessionID(lease)})
+	keyvalue.WriteJSON(w, http.StatusOK, sessionResponse{ID: sessionID(lease)})
 }
 
 func (s *Server) renewSession(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	renewed := false
-	s.Update(func(data *keyvalue.Data) { renewed = data.Renew(sessionOf(id)) })
+	s.Update(func(data *keyvalue.Data) { renewed = data.Renew(leaseOf(id)) })
 	if !renewed {
 		http.NotFound(w, r)
 		return
 	}
-	keyvalue.WriteJSON(w, http.StatusOK, []sessionAnswer{{ID: id}})
+	keyvalue.WriteJSON(w, http.StatusOK, []sessionResponse{{ID: id}})
 }
 
 func (s *Server) destroySession(w http.ResponseWriter, r *http.Request) {
-	s.Update(func(data *keyvalue.Data) { data.Revoke(sessionOf(r.PathValue("id"))) })
+	s.Update(func(data *keyvalue.Data) { data.Revoke(leaseOf(r.PathValue("id"))) })
 	_, _ = io.WriteString(w, "true")
 }
--- a/internal/standin/keyvalue/faults.go
+++ b/internal/standin/keyvalue/faults.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Faults says how a stand-in misbehaves. The zero value is a healthy one.
+// Faults are the faults that a stub injects. The zero value injects none.
 type Faults struct {
-	Down          bool          // connections are closed without an answer
-	Silent        bool          // calls are never answered
-	Status        int           // calls are answered with this status and not carried out, 0: none
-	Garbage       bool          // calls are answered with something else than JSON and not carried out
-	Delay         time.Duration // before each call is carried out
-	LoseAnswers   int           // so many writes take effect and get no answer
-	RatePerSecond int           // calls above it get status 429, 0: no limit, negative: all
-	StaleReads    int           // so many reads show the value before the last one
-	MuteWaits     bool          // waits hear of no change and are never answered
-	MachineLag    time.Duration // by which the machine list lags behind
+	Down          bool          // Close connections without a response.
+	Silent        bool          // Never respond.
+	Status        int           // Respond with this status without executing the call. 0: off.
+	Garbage       bool          // Respond with a body that is not JSON, without executing the call.
+	Delay         time.Duration // Delay before each call is executed.
+	LoseAnswers   int           // Number of writes to execute without a response.
+	RatePerSecond int           // Reject calls above this rate with status 429. 0: no limit; negative: reject all.
+	StaleReads    int           // Number of reads that return the previous value of the key.
+	MuteWaits     bool          // Never respond to blocking reads, even after a change.
+	MachineLag    time.Duration // Age of the machine list that is returned.
 }
 
-// faultState is the faults in force, with the counter of the rate limit.
+// faultState holds the active faults and the counter of the rate limit.
 type faultState struct {
 	current Faults
 	second  int64
-	calls   int // in this second
+	calls   int // Calls in this second.
 }
 
 func (f *faultState) takeStaleRead() bool {
@@ -37,8 +37,8 @@
 	return true
 }
 
-// takeLostAnswer reports whether the answer of a call is lost. Only a write that is
-// carried out counts.
+// takeLostAnswer reports whether the response to a call is dropped. Only writes that are
+// executed count.
 func (f *faultState) takeLostAnswer(method string) bool {
 	refused := f.current.Down || f.current.Silent || f.current.Status != 0 || f.current.Garbage
 	if method == http.MethodGet || refused || f.current.LoseAnswers == 0 {
@@ -59,28 +59,28 @@
 	return f.calls > f.current.RatePerSecond
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults.current = faults
 }
 
-// Faults returns the faults in force.
+// Faults returns the active faults.
 func (s *Store) Faults() Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults.current
 }
 
-// WithFaults puts the faults in force in front of a protocol.
+// WithFaults wraps the handler of a protocol and injects the active faults.
 func (s *Store) WithFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The server notices that a caller has left only when nothing of the request is
-		// left to read.
+		// The server detects that a caller has disconnected only after the request body
+		// has been read.
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the caller has left
+			return // The caller has disconnected.
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		s.mutex.Lock()
@@ -114,7 +114,7 @@
 	})
 }
 
-// sleep waits and reports whether the caller is still there.
+// sleep waits for a duration. It returns false if the caller disconnects before that.
 func sleep(r *http.Request, duration time.Duration) bool {
 	if duration <= 0 {
 		return true
@@ -129,7 +129,7 @@
 	}
 }
 
-// discardWriter is an http.ResponseWriter that drops the answer.
+// discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct {
 	header http.Header
 }
@@ -138,9 +138,9 @@
 func (d discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 func (d discardWriter) WriteHeader(int)                {}
 
-// WriteJSON answers with a value as JSON.
+// WriteJSON writes a response with a value encoded as JSON.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(value) // the caller has left
+	_ = json.NewEncoder(w).Encode(value) // Fails only if the caller has disconnected.
 }
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -1,7 +1,7 @@
-// Package keyvalue is the common part of the stand-ins for key-value stores. It owns the
-// keys with their revisions, leases and history, in memory, and puts faults in front of
-// the protocol that a stand-in serves. Packages consul and metastore are its two
-// protocols. It relies on nothing of the product.
+// Package keyvalue is the common part of the key-value store stubs. It keeps keys with
+// their revisions, leases and history in memory and injects faults in front of the
+// protocol that a stub serves. Packages consul and metastore implement the protocols. It
+// uses no other package of this module.
 package keyvalue
 
 import (
@@ -11,30 +11,29 @@
 	"time"
 )
 
-// Item is one key.
+// Item is a key and its value, or a removal in the history.
 type Item struct {
 	Key      string
 	Value    []byte
-	Revision uint64 // of the store when it was written last
-	Created  uint64 // the same when it was created
-	Lease    int64  // the key goes with this lease, 0: none
-	Gone     bool   // in the history: the key was removed
+	Revision uint64 // Revision of the store at the last write.
+	Created  uint64 // Revision of the store when the key was created.
+	Lease    int64  // The key is removed when this lease ends. 0: no lease.
+	Removed  bool   // Set in history entries that record a removal.
 }
 
-// Data is what a Store holds. It is used inside Update only.
+// Data is the content of a Store. It may be used only inside Update and by the condition of Wait.
 type Data struct {
-	Revision uint64 // raised by each change
-	Oldest   uint64 // the history begins after it
+	Revision uint64 // Incremented by each change.
+	Oldest   uint64 // The history holds the changes after this revision.
 	Items    map[string]Item
 
-	before  map[string]Item // each key before its last write
-	history []Item
-	leases  map[int64]lease
-	granted int64 // the last lease
+	previous  map[string]Item // State of each key before its last write.
+	history   []Item
+	leases    map[int64]lease
+	lastLease int64 // Id of the last lease granted.
 }
 
-// lease is the time to live of a lease and its end. Without a time to live it lasts until
-// it is revoked.
+// lease is a granted lease. Without a time to live it lasts until it is revoked.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
@@ -44,20 +43,20 @@
 type Store struct {
 	mutex   sync.Mutex
 	data    Data
-	changed chan struct{} // closed and replaced at each change
+	changed chan struct{} // Closed and replaced at each change.
 	faults  faultState
 }
 
 // New returns an empty store at revision 1.
 func New() *Store {
 	return &Store{
-		data:    Data{Revision: 1, Items: map[string]Item{}, before: map[string]Item{}, leases: map[int64]lease{}},
+		data:    Data{Revision: 1, Items: map[string]Item{}, previous: map[string]Item{}, leases: map[int64]lease{}},
 		changed: make(chan struct{}),
 	}
 }
 
-// Update runs a function that alone reads and changes the data. It wakes those who wait
-// when the data has changed.
+// Update runs a function with exclusive access to the data and wakes the callers of Wait if
+// the data has changed.
 func (s *Store) Update(run func(data *Data)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -70,12 +69,12 @@
 	}
 }
 
-// Read returns a key and the revision of the store. Under Faults.StaleReads it shows the
-// key as it was before its last write.
+// Read returns a key and the revision of the store. While Faults.StaleReads is above 0 it
+// returns the key as it was before its last write.
 func (s *Store) Read(key string) (item Item, exists bool, revision uint64) {
 	s.Update(func(data *Data) {
 		item, exists = data.Items[key]
-		if earlier, written := data.before[key]; exists && s.faults.takeStaleRead() && written {
+		if earlier, written := data.previous[key]; exists && s.faults.takeStaleRead() && written {
 			item = earlier
 		}
 		revision = data.Revision
@@ -83,14 +82,14 @@
 	return item, exists, revision
 }
 
-// Wait blocks until a condition holds or the time is over. It reports false when the
-// caller has left. Under Faults.MuteWaits it waits for that.
-func (s *Store) Wait(r *http.Request, limit time.Duration, holds func(data *Data) bool) bool {
+// Wait blocks until a condition holds or the time limit is reached. It returns false when
+// the caller has disconnected; while Faults.MuteWaits is set it blocks until then.
+func (s *Store) Wait(r *http.Request, limit time.Duration, condition func(data *Data) bool) bool {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
 	for {
 		s.mutex.Lock()
-		reached, changed, mute := holds(&s.data), s.changed, s.faults.current.MuteWaits
+		reached, changed, mute := condition(&s.data), s.changed, s.faults.current.MuteWaits
 		s.mutex.Unlock()
 		if mute {
 			<-r.Context().Done()
@@ -115,7 +114,7 @@
 	item.Revision, item.Created = d.Revision, d.Revision
 	if earlier, exists := d.Items[item.Key]; exists {
 		item.Created = earlier.Created
-		d.before[item.Key] = earlier
+		d.previous[item.Key] = earlier
 	}
 	d.Items[item.Key] = item
 	d.history = append(d.history, item)
@@ -128,11 +127,11 @@
 	}
 	d.Revision++
 	delete(d.Items, key)
-	delete(d.before, key)
-	d.history = append(d.history, Item{Key: key, Revision: d.Revision, Gone: true})
+	delete(d.previous, key)
+	d.history = append(d.history, Item{Key: key, Revision: d.Revision, Removed: true})
 }
 
-// Since returns what was changed below a prefix after a revision, oldest first.
+// Since returns the changes of keys with a prefix after a revision, oldest first.
 func (d *Data) Since(revision uint64, prefix string) []Item {
 	events := []Item{}
 	for _, event := range d.history {
@@ -143,35 +142,35 @@
 	return events
 }
 
-// ForgetHistory drops the history.
+// ForgetHistory drops the history up to the current revision.
 func (d *Data) ForgetHistory() { d.history, d.Oldest = nil, d.Revision }
 
-// Grant begins a lease. Without a time to live it lasts until it is revoked.
+// Grant creates a lease. With a time to live of 0 it lasts until it is revoked.
 func (d *Data) Grant(ttl time.Duration) (id int64) {
-	d.granted++
-	d.leases[d.granted] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	return d.granted
+	d.lastLease++
+	d.leases[d.lastLease] = lease{ttl: ttl, expires: time.Now().Add(ttl)}
+	return d.lastLease
 }
 
-// Holds reports whether a lease is in force.
-func (d *Data) Holds(id int64) bool {
-	_, held := d.leases[id]
-	return held
+// LeaseActive reports whether a lease is active.
+func (d *Data) LeaseActive(id int64) bool {
+	_, active := d.leases[id]
+	return active
 }
 
-// Renew renews a lease and reports whether it was in force.
+// Renew restarts the time to live of a lease. It returns false if the lease is not active.
 func (d *Data) Renew(id int64) bool {
-	known, held := d.leases[id]
-	if held {
-		known.expires = time.Now().Add(known.ttl)
-		d.leases[id] = known
+	found, active := d.leases[id]
+	if active {
+		found.expires = time.Now().Add(found.ttl)
+		d.leases[id] = found
 	}
-	return held
+	return active
 }
 
-// Revoke ends a lease and removes the keys that go with it.
+// Revoke ends a lease and removes the keys attached to it.
 func (d *Data) Revoke(id int64) {
-	if !d.Holds(id) {
+	if !d.LeaseActive(id) {
 		return
 	}
 	delete(d.leases, id)
@@ -182,10 +181,10 @@
 	}
 }
 
-// expire ends the leases whose time is over.
+// expire revokes the leases whose time to live has passed.
 func (d *Data) expire(now time.Time) {
-	for id, known := range d.leases {
-		if known.ttl > 0 && now.After(known.expires) {
+	for id, found := range d.leases {
+		if found.ttl > 0 && now.After(found.expires) {
 			d.Revoke(id)
 		}
 	}
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -1,9 +1,7 @@
-// Package metastore is a stand-in for the metadata store of the users' platform,
-// written from its published protocol. Keys, leases, history and faults are those of
-// package keyvalue.
+// Package metastore is a stub of the metadata store of the users' platform, written from
+// the published protocol. Package keyvalue provides keys, leases, history and faults.
 //
-// It belongs to the tests and to the soak: nothing of the product but package platform
-// speaks its protocol.
+// It is used by tests and by the soak. Package platform is the client of the protocol.
 package metastore
 
 import (
@@ -17,10 +15,10 @@
 	"github.com/loomcleat/loomcleat/internal/standin/keyvalue"
 )
 
-// Faults says how the stand-in misbehaves.
+// Faults are the faults that the stub injects.
 type Faults = keyvalue.Faults
 
-// Server is the stand-in. It keeps everything in memory.
+// Server is the stub. All data is in memory.
 type Server struct {
 	*keyvalue.Store
 }
@@ -28,21 +26,21 @@
 // NewServer returns an empty store.
 func NewServer() *Server { return &Server{keyvalue.New()} }
 
-// keyConfiguration is where the operator keeps the configuration.
+// keyConfiguration is the key of the operator's configuration.
 const keyConfiguration = "op/config"
 
-// PutConfiguration writes the configuration, as the operator does.
+// PutConfiguration writes the configuration, as an operator would.
 func (s *Server) PutConfiguration(data []byte) { s.Put(keyConfiguration, data) }
 
-// Put writes a key as the operator does.
+// Put writes a key without a lease, as an operator would.
 func (s *Server) Put(key string, value []byte) {
 	s.Update(func(data *keyvalue.Data) { data.Put(keyvalue.Item{Key: key, Value: value}) })
 }
 
-// ForgetHistory drops the history, so that waits from before it get 410.
+// ForgetHistory drops the history, so that watches from an earlier revision get status 410.
 func (s *Server) ForgetHistory() { s.Update((*keyvalue.Data).ForgetHistory) }
 
-// Handler serves the protocol.
+// Handler returns the handler of the protocol, with the active faults in front.
 func (s *Server) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /-/kv-key", s.serveKey)
@@ -50,51 +48,51 @@
 	routes.HandleFunc("GET /-/kv-watch", s.serveWatch)
 	routes.HandleFunc("POST /-/kv-txn", s.serveTransaction)
 	routes.HandleFunc("POST /-/kv-lease", s.serveLease)
-	routes.HandleFunc("POST /-/kv-keep/{id}", s.serveKeep)
-	routes.HandleFunc("DELETE /-/kv-lease-end/{id}", s.serveLeaseEnd)
+	routes.HandleFunc("POST /-/kv-keep/{id}", s.serveRenewal)
+	routes.HandleFunc("DELETE /-/kv-lease-end/{id}", s.serveRevocation)
 	return s.WithFaults(routes)
 }
 
-// item is a key in the protocol. Its fields are those of keyvalue.Item.
+// item is a key in the protocol. Its fields match keyvalue.Item for conversion.
 type item struct {
 	Key      string `json:"private_key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
 	Created  uint64 `json:"created,omitempty"`
 	Lease    int64  `json:"lease"`
-	Gone     bool   `json:"gone,omitempty"`
+	Removed  bool   `json:"gone,omitempty"`
 }
 
-type keyAnswer struct {
+type keyResponse struct {
 	item
 	At uint64 `json:"at"`
 }
 
-type positionAnswer struct {
+type positionResponse struct {
 	At uint64 `json:"at"`
 }
 
 func (s *Server) serveKey(w http.ResponseWriter, r *http.Request) {
 	found, exists, revision := s.Read(r.URL.Query().Get("private_key"))
 	if !exists {
-		keyvalue.WriteJSON(w, http.StatusNotFound, positionAnswer{At: revision})
+		keyvalue.WriteJSON(w, http.StatusNotFound, positionResponse{At: revision})
 		return
 	}
-	keyvalue.WriteJSON(w, http.StatusOK, keyAnswer{item: item(found), At: revision})
+	keyvalue.WriteJSON(w, http.StatusOK, keyResponse{item: item(found), At: revision})
 }
 
-type rangeAnswer struct {
+type rangeResponse struct {
 	Items []item `json:"items"`
 	More  bool   `json:"more"`
 	At    uint64 `json:"at"`
 }
 
-// pageSize is small, so that tests see several pages.
+// pageSize is small so that tests get several pages.
 const pageSize = 3
 
 func (s *Server) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("path_prefix"), r.URL.Query().Get("after")
-	page := rangeAnswer{Items: []item{}}
+	page := rangeResponse{Items: []item{}}
 	s.Update(func(data *keyvalue.Data) {
 		page.At = data.Revision
 		for key, found := range data.Items {
@@ -110,7 +108,7 @@
 	keyvalue.WriteJSON(w, http.StatusOK, page)
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Events []item `json:"events"`
 	At     uint64 `json:"at"`
 }
@@ -118,23 +116,23 @@
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	prefix := query.Get("path_prefix")
-	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // 0: from the beginning
-	wait, _ := strconv.Atoi(query.Get("wait_ms"))             // 0: at once
-	news := watchAnswer{Events: []item{}}
-	gone := false
-	there := s.Wait(r, time.Duration(wait)*time.Millisecond, func(data *keyvalue.Data) bool {
-		news.At, gone = data.Revision, after < data.Oldest
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64) // Default 0: from the first change.
+	wait, _ := strconv.Atoi(query.Get("wait_ms"))             // Default 0: respond immediately.
+	response := watchResponse{Events: []item{}}
+	compacted := false
+	connected := s.Wait(r, time.Duration(wait)*time.Millisecond, func(data *keyvalue.Data) bool {
+		response.At, compacted = data.Revision, after < data.Oldest
 		for _, event := range data.Since(after, prefix) {
-			news.Events = append(news.Events, item(event))
+			response.Events = append(response.Events, item(event))
 		}
-		return gone || len(news.Events) > 0
+		return compacted || len(response.Events) > 0
 	})
 	switch {
-	case !there:
-	case gone:
+	case !connected:
+	case compacted:
 		w.WriteHeader(http.StatusGone)
 	default:
-		keyvalue.WriteJSON(w, http.StatusOK, news)
+		keyvalue.WriteJSON(w, http.StatusOK, response)
 	}
 }
 
@@ -144,11 +142,11 @@
 	Remove   []string `json:"remove"`
 }
 
-type conflictAnswer struct {
+type conflictResponse struct {
 	Items []item `json:"items"`
 }
 
-type revisionAnswer struct {
+type revisionResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
@@ -161,12 +159,12 @@
 	s.Update(func(data *keyvalue.Data) {
 		for _, expected := range body.Expected {
 			if found := data.Items[expected.Key]; found.Revision != expected.Revision {
-				keyvalue.WriteJSON(w, http.StatusPreconditionFailed, conflictAnswer{Items: []item{item(found)}})
+				keyvalue.WriteJSON(w, http.StatusPreconditionFailed, conflictResponse{Items: []item{item(found)}})
 				return
 			}
 		}
 		for _, put := range body.Put {
-			if put.Lease != 0 && !data.Holds(put.Lease) {
+			if put.Lease != 0 && !data.LeaseActive(put.Lease) {
 				w.WriteHeader(http.StatusNotFound)
 				return
 			}
@@ -177,27 +175,27 @@
 		for _, key := range body.Remove {
 			data.Remove(key)
 		}
-		keyvalue.WriteJSON(w, http.StatusOK, revisionAnswer{Revision: data.Revision})
+		keyvalue.WriteJSON(w, http.StatusOK, revisionResponse{Revision: data.Revision})
 	})
 }
 
-type leaseAnswer struct {
+type leaseResponse struct {
 	Lease int64  `json:"lease"`
 	TTL   string `json:"ttl_time"`
 }
 
-// serveLease grants a lease that does not run out, whatever time was asked for.
+// serveLease grants a lease that never expires; the requested time to live is ignored.
 func (s *Server) serveLease(w http.ResponseWriter, r *http.Request) {
-	var asked leaseAnswer
-	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
+	var body leaseResponse
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Update(func(data *keyvalue.Data) { asked.Lease = data.Grant(0) })
-	keyvalue.WriteJSON(w, http.StatusOK, asked)
+	s.Update(func(data *keyvalue.Data) { body.Lease = data.Grant(0) })
+	keyvalue.WriteJSON(w, http.StatusOK, body)
 }
 
-func (s *Server) serveKeep(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRenewal(w http.ResponseWriter, r *http.Request) {
 	id := leaseOf(r)
 	renewed := false
 	s.Update(func(data *keyvalue.Data) { renewed = data.Renew(id) })
@@ -205,15 +203,15 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	keyvalue.WriteJSON(w, http.StatusOK, leaseAnswer{Lease: id})
+	keyvalue.WriteJSON(w, http.StatusOK, leaseResponse{Lease: id})
 }
 
-func (s *Server) serveLeaseEnd(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRevocation(w http.ResponseWriter, r *http.Request) {
 	s.Update(func(data *keyvalue.Data) { data.Revoke(leaseOf(r)) })
 	w.WriteHeader(http.StatusOK)
 }
 
-// leaseOf returns the lease that a path names, 0 for none.
+// leaseOf returns the lease id in the path of a request, 0 if it is not a number.
 func leaseOf(r *http.Request) int64 {
 	id, err := strconv.ParseInt(r.PathValue("id"), 10, 64)
 	if err != nil {
--- a/internal/standin/platformbackend/backend.go
+++ b/internal/standin/platformbackend/backend.go
@@ -1,9 +1,10 @@
-// Package platformbackend is a stand-in for a back end of the users' platform, written from
-// its published protocol: it has incarnations, sends heartbeats to the node beside it,
-// refuses what is meant for another incarnation, drains, crashes and comes back.
+// Package platformbackend is a stub of a back end of the users' platform, written from the
+// published protocol, for the soak. Each start is a new incarnation, which sends heartbeats
+// to the node beside it and refuses requests addressed to another incarnation. It can drain,
+// crash and be started again.
 //
-// It owns its listener and its heartbeats, and relies on package serving, and on package
-// platform for the names of headers. It belongs to the soak.
+// It owns its listener and its heartbeats. It relies on package serving, and on package
+// platform for header names.
 package platformbackend
 
 import (
@@ -21,40 +22,41 @@
 	"github.com/loomcleat/loomcleat/platform"
 )
 
-// Headers of requests that tell the stand-in what to do, and of its answers.
+// Request headers that control the stub, and a header of its responses.
 const (
-	HeaderCall  = "Stub-Call"  // path of a call to make before answering
-	HeaderCrash = "Stub-Crash" // crash when running this request
-	HeaderSeal  = "Stub-Seal"  // of answers: proves whose they are
+	HeaderCall  = "Stub-Call"  // Paths, separated by commas: call the first before responding, and pass on the others.
+	HeaderCrash = "Stub-Crash" // Crash when running this request.
+	HeaderSeal  = "Stub-Seal"  // Set on successful responses to SealOf of the request id.
 )
 
-// pathHeartbeat is where the node takes heartbeats, followed by the id of the incarnation.
+// pathHeartbeat is the path of heartbeats at the node. The id of the incarnation follows.
 const pathHeartbeat = "/-/instances/"
 
 // Config configures a Backend. All fields are required.
 type Config struct {
-	Service    string
-	Address    string        // where it listens, the same for all incarnations
-	Outbound   string        // address of its node for calls
-	Heartbeats string        // address of its node for heartbeats
-	Host       string        // Host of its calls
-	Slots      int           // requests that it works on at a time
-	Work       time.Duration // time for each
-	Beat       time.Duration // between two heartbeats
-	Observer   Observer
+	Service           string
+	Address           string        // Address to listen at, the same for all incarnations.
+	OutboundAddress   string        // Address of the node for calls.
+	HeartbeatAddress  string        // Address of the node for heartbeats.
+	Host              string        // Host header of calls.
+	Slots             int           // Requests worked on at the same time.
+	WorkTime          time.Duration // Working time for each request.
+	HeartbeatInterval time.Duration // Interval between heartbeats.
+	Observer          Observer
 }
 
-// Observer is told what the stand-in sees. Its methods may be called at the same time.
+// Observer is notified of events at the stub. Its methods may be called concurrently.
 type Observer interface {
-	// Ran tells that an incarnation has begun to run a request.
-	Ran(requestID, instance string)
-	// Crashed tells that an incarnation has crashed.
+	// RequestStarted reports that an incarnation has started to run a request.
+	RequestStarted(requestID, instance string)
+	// Crashed reports that an incarnation has crashed.
 	Crashed(instance string)
-	// Closed tells that the node has acknowledged that an incarnation leaves.
-	Closed(instance string)
+	// DrainAcknowledged reports that the node has acknowledged that an incarnation is
+	// draining.
+	DrainAcknowledged(instance string)
 }
 
-// Backend is the stand-in.
+// Backend is the stub.
 type Backend struct {
 	config Config
 	client *http.Client
@@ -63,13 +65,13 @@
 	mutex    sync.Mutex
 	starts   int
 	instance string
-	server   *http.Server // nil while it is down
+	server   *http.Server // nil while the stub is down.
 	draining bool
 	sequence int
 	stopped  bool
 }
 
-// New returns a stand-in that is down.
+// New returns a stub that has not been started.
 func New(config Config) *Backend {
 	return &Backend{
 		config: config,
@@ -78,7 +80,8 @@
 	}
 }
 
-// Start begins an incarnation and the heartbeats of it.
+// Start starts a new incarnation and its heartbeats. It does nothing while one is running or
+// after Stop. It returns an error if the address is in use.
 func (b *Backend) Start() error {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -93,18 +96,19 @@
 	b.starts++
 	b.instance, b.server = instance, server
 	b.draining, b.sequence = false, 0
-	go b.beat(instance)
+	go b.sendHeartbeats(instance)
 	return nil
 }
 
-// Instance returns the name of the present or last incarnation.
+// Instance returns the id of the current or last incarnation.
 func (b *Backend) Instance() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.instance
 }
 
-// Crash ends an incarnation at once, with all that it works on. It reports whether it ran.
+// Crash stops an incarnation immediately and breaks the connections of its requests in
+// flight. It returns false if that incarnation wasn't running.
 func (b *Backend) Crash(instance string) bool {
 	b.mutex.Lock()
 	server := b.server
@@ -121,9 +125,9 @@
 	return true
 }
 
-// Drain says that the incarnation leaves, serves on for a time after the node has
-// acknowledged it, says goodbye and ends.
-func (b *Backend) Drain(serveOn time.Duration) {
+// Drain stops the incarnation gracefully: it reports draining to the node, keeps serving for
+// a grace period, deregisters and shuts down.
+func (b *Backend) Drain(grace time.Duration) {
 	b.mutex.Lock()
 	server, instance := b.server, b.instance
 	b.draining = true
@@ -131,23 +135,23 @@
 	if server == nil {
 		return
 	}
-	if b.send(instance) {
-		b.config.Observer.Closed(instance)
+	if b.sendHeartbeat(instance) {
+		b.config.Observer.DrainAcknowledged(instance)
 	}
-	time.Sleep(serveOn)
-	b.goodbye(instance)
+	time.Sleep(grace)
+	b.deregister(instance)
 	b.mutex.Lock()
 	if b.server == server {
 		b.server = nil
 	}
 	b.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), serveOn)
+	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	_ = server.Shutdown(ctx)
 	_ = server.Close()
 }
 
-// Stop ends the stand-in for good.
+// Stop stops the stub; it can't be started again.
 func (b *Backend) Stop() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -159,15 +163,15 @@
 	b.client.CloseIdleConnections()
 }
 
-// beat sends the heartbeats of an incarnation until it has ended.
-func (b *Backend) beat(instance string) {
-	for b.runs(instance) {
-		b.send(instance)
-		time.Sleep(b.config.Beat)
+// sendHeartbeats sends heartbeats while the incarnation runs.
+func (b *Backend) sendHeartbeats(instance string) {
+	for b.isRunning(instance) {
+		b.sendHeartbeat(instance)
+		time.Sleep(b.config.HeartbeatInterval)
 	}
 }
 
-func (b *Backend) runs(instance string) bool {
+func (b *Backend) isRunning(instance string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.server != nil && b.instance == instance
@@ -193,8 +197,8 @@
 	Cold     string `json:"cold_remaining"`
 }
 
-// send sends one heartbeat and reports whether it was acknowledged.
-func (b *Backend) send(instance string) bool {
+// sendHeartbeat sends a heartbeat and reports whether the node acknowledged it.
+func (b *Backend) sendHeartbeat(instance string) bool {
 	b.mutex.Lock()
 	b.sequence++
 	state := "ready"
@@ -207,18 +211,18 @@
 		Status:  heartbeatStatus{State: state, Sequence: b.sequence, Cold: "0ms"},
 	})
 	b.mutex.Unlock()
-	return err == nil && b.tell(http.MethodPut, instance, string(body))
+	return err == nil && b.callNode(http.MethodPut, instance, string(body))
 }
 
-func (b *Backend) goodbye(instance string) { b.tell(http.MethodDelete, instance, "") }
+func (b *Backend) deregister(instance string) { b.callNode(http.MethodDelete, instance, "") }
 
-// heartbeatTimeout is the time within which a heartbeat must be acknowledged.
+// heartbeatTimeout is the time limit for the acknowledgement of a heartbeat.
 const heartbeatTimeout = time.Second
 
-func (b *Backend) tell(method, instance, body string) bool {
+func (b *Backend) callNode(method, instance, body string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.config.Heartbeats+pathHeartbeat+instance, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.config.HeartbeatAddress+pathHeartbeat+instance, strings.NewReader(body))
 	if err != nil {
 		return false
 	}
@@ -230,7 +234,7 @@
 	return response.StatusCode < http.StatusMultipleChoices
 }
 
-// serve serves a request as one incarnation.
+// serve runs a request at an incarnation.
 func (b *Backend) serve(w http.ResponseWriter, r *http.Request, instance string) {
 	dialect := platform.Dialect()
 	requestID := r.Header.Get(dialect.RequestID)
@@ -248,8 +252,8 @@
 	}
 	defer release()
 	crashes := r.Header.Get(HeaderCrash) != ""
-	b.config.Observer.Ran(requestID, instance)
-	time.Sleep(b.config.Work)
+	b.config.Observer.RequestStarted(requestID, instance)
+	time.Sleep(b.config.WorkTime)
 	if crashes {
 		b.Crash(instance)
 		<-r.Context().Done()
@@ -263,14 +267,16 @@
 	_, _ = fmt.Fprintf(w, "%s %s", b.config.Service, requestID)
 }
 
-// SealOf is what answers to a request are sealed with.
+// SealOf returns the value of HeaderSeal for a request, which lets a caller recognize the
+// response to its own request.
 func SealOf(requestID string) string { return "sealed " + requestID }
 
-// call makes a call of a request and reports whether it succeeded.
+// call makes the call that a request asks for and reports whether its own response came
+// back.
 func (b *Backend) call(parent *http.Request, path string) bool {
 	dialect := platform.Dialect()
-	path, rest, _ := strings.Cut(path, ",") // further ones are made deeper
-	request, err := http.NewRequestWithContext(parent.Context(), http.MethodGet, "http://"+b.config.Outbound+path, nil)
+	path, rest, _ := strings.Cut(path, ",") // The next back end makes the remaining calls.
+	request, err := http.NewRequestWithContext(parent.Context(), http.MethodGet, "http://"+b.config.OutboundAddress+path, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/standin/serving/serving.go
+++ b/internal/standin/serving/serving.go
@@ -1,5 +1,5 @@
-// Package serving is the common part of the stand-ins for back ends: slots, the listener
-// and the client for calls. Packages backend and platformbackend are its two protocols.
+// Package serving is the common part of the back end stubs: slots, the listener and the
+// client for calls. Packages backend and platformbackend implement the protocols.
 package serving
 
 import (
@@ -10,45 +10,45 @@
 	"time"
 )
 
-// Slots bounds the requests that a back end works on at once.
+// Slots limits the requests that a back end works on at the same time.
 type Slots struct {
-	busy  chan struct{}
-	taken chan struct{} // busy or waiting
+	running  chan struct{} // Requests being worked on.
+	admitted chan struct{} // Requests being worked on or queued.
 }
 
-// NewSlots returns slots with a queue of requests that may wait for one. 0 slots are no
-// bound.
+// NewSlots returns a number of slots with a queue for requests that wait for one. With 0
+// slots there is no limit.
 func NewSlots(slots, queue int) *Slots {
 	if slots == 0 {
 		return &Slots{}
 	}
-	return &Slots{busy: make(chan struct{}, slots), taken: make(chan struct{}, slots+queue)}
+	return &Slots{running: make(chan struct{}, slots), admitted: make(chan struct{}, slots+queue)}
 }
 
-// Take waits for a slot. It reports false when the queue is full or ctx has ended.
+// Take waits for a slot. It returns false if the queue is full or ctx is done.
 func (s *Slots) Take(ctx context.Context) (release func(), ok bool) {
-	if s.busy == nil {
+	if s.running == nil {
 		return func() {}, true
 	}
 	select {
-	case s.taken <- struct{}{}:
+	case s.admitted <- struct{}{}:
 	default:
 		return nil, false
 	}
 	select {
-	case s.busy <- struct{}{}:
-		return func() { <-s.busy; <-s.taken }, true
+	case s.running <- struct{}{}:
+		return func() { <-s.running; <-s.admitted }, true
 	case <-ctx.Done():
-		<-s.taken
+		<-s.admitted
 		return nil, false
 	}
 }
 
-// headerTimeout is the time within which the head of a request must have come.
+// headerTimeout is the time limit for reading the header of a request.
 const headerTimeout = 10 * time.Second
 
 // Listen serves at an address, IP:port, until the server is shut down or closed. Addr of
-// the server is where it listens, also when the port was 0.
+// the server is the actual address, also if the port was 0.
 func Listen(address string, handler http.Handler) (*http.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
