--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -15,35 +15,35 @@
 	"github.com/loomcleat/loomcleat/platform"
 )
 
-// Bounds of callers.
+// Timing of callers.
 const (
-	callerPatience = 3 * time.Second
-	callerPause    = 20 * time.Millisecond
-	crasherPause   = 150 * time.Millisecond
+	callerTimeout = 3 * time.Second
+	callerPause   = 20 * time.Millisecond
+	crasherPause  = 150 * time.Millisecond
 )
 
 // Kinds of requests.
 var (
-	lookup  = Kind{Name: "lookup", Repeatable: true} // three deep
+	lookup  = Kind{Name: "lookup", Repeatable: true} // Calls through all three services.
 	payment = Kind{Name: "payment"}
 )
 
-// callers send requests to all nodes, on connections that they keep until these end.
+// callers send requests to all nodes over persistent connections.
 type callers struct {
-	fleet *fleet
-	next  atomic.Int64
-	group sync.WaitGroup
+	fleet      *fleet
+	lastNumber atomic.Int64
+	group      sync.WaitGroup
 }
 
-// run keeps one caller at each node until ctx ends, and waits for the last answers.
+// run runs one caller per node until ctx is done, and waits for the last responses.
 func (c *callers) run(ctx context.Context) {
 	for _, n := range c.fleet.nodes {
-		c.group.Go(func() { c.keepAsking(ctx, n) })
+		c.group.Go(func() { c.sendRequests(ctx, n) })
 	}
 	c.group.Wait()
 }
 
-func (c *callers) keepAsking(ctx context.Context, n *node) {
+func (c *callers) sendRequests(ctx context.Context, n *node) {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for turn := 0; ctx.Err() == nil; turn++ {
@@ -51,30 +51,30 @@
 		if turn%3 == 0 {
 			kind = payment
 		}
-		c.ask(client, n, kind)
+		c.send(client, n, kind)
 		time.Sleep(callerPause)
 	}
 }
 
 func newClient() *http.Client {
-	return &http.Client{Timeout: callerPatience, Transport: &http.Transport{DisableCompression: true}}
+	return &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableCompression: true}}
 }
 
-// ask sends one request of a kind and tells how it ended.
-func (c *callers) ask(client *http.Client, n *node, kind Kind) Answer {
-	number := c.next.Add(1)
+// send sends one request and reports its outcome to the checker.
+func (c *callers) send(client *http.Client, n *node, kind Kind) Outcome {
+	number := c.lastNumber.Add(1)
 	id := "r" + strconv.FormatInt(number, 10)
-	request := requestOf(n, kind, id)
-	c.fleet.checker.Sent(id, kind)
-	planned := c.fleet.settled() && n.stopsInOrder()
-	answer := exchange(client, request, id)
-	answer.Planned = planned && c.fleet.settled()
-	c.fleet.checker.Ended(time.Now(), id, answer)
-	return answer
+	request := newRequest(n, kind, id)
+	c.fleet.checker.RequestSent(id, kind)
+	planned := c.fleet.settled() && n.stopsGracefully()
+	outcome := roundTrip(client, request, id)
+	outcome.Planned = planned && c.fleet.settled()
+	c.fleet.checker.RequestEnded(time.Now(), id, outcome)
+	return outcome
 }
 
-// requestOf builds the request of a try.
-func requestOf(n *node, kind Kind, id string) *http.Request {
+// newRequest builds a request of a kind with the given id.
+func newRequest(n *node, kind Kind, id string) *http.Request {
 	dialect := platform.Dialect()
 	method, path, body := http.MethodGet, "/front/"+id, ""
 	switch {
@@ -85,12 +85,12 @@
 	}
 	request, err := http.NewRequest(method, "http://"+n.outbound+path, strings.NewReader(body))
 	if err != nil {
-		panic(fmt.Sprintf("soak: building a request: %v", err)) // all its parts are constants
+		panic(fmt.Sprintf("soak: building a request: %v", err)) // All parts of the URL are valid.
 	}
-	request.GetBody = nil // it must not be sent again under the same id
+	request.GetBody = nil // Without GetBody the client can't resend the request under the same id.
 	request.Host = host
 	request.Header.Set(dialect.RequestID, id)
-	request.Header.Set(dialect.Remaining, strconv.FormatInt(callerPatience.Milliseconds(), 10))
+	request.Header.Set(dialect.Remaining, strconv.FormatInt(callerTimeout.Milliseconds(), 10))
 	switch {
 	case kind.Crasher != "":
 		request.Header.Set(platformbackend.HeaderCrash, "1")
@@ -100,29 +100,28 @@
 	return request
 }
 
-// exchange sends a request and reads its answer to the end.
-func exchange(client *http.Client, request *http.Request, id string) Answer {
+// roundTrip sends a request and reads the complete response.
+func roundTrip(client *http.Client, request *http.Request, id string) Outcome {
 	response, err := client.Do(request)
 	if err != nil {
-		return Answer{}
+		return Outcome{}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return Answer{}
+		return Outcome{}
 	}
-	own := response.Header.Get(platformbackend.HeaderSeal) == platformbackend.SealOf(id) && strings.HasSuffix(string(body), " "+id)
-	return Answer{Status: response.StatusCode, Own: own}
+	correct := response.Header.Get(platformbackend.HeaderSeal) == platformbackend.SealOf(id) && strings.HasSuffix(string(body), " "+id)
+	return Outcome{Status: response.StatusCode, Correct: correct}
 }
 
-// crash sends requests that crash back ends, again and again and at each node in turn,
-// until ctx ends.
+// crash sends requests that crash back ends, to each node in turn, until ctx is done.
 func (c *callers) crash(ctx context.Context, names ...string) {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	for turn := 0; ctx.Err() == nil; turn++ {
 		kind := Kind{Name: "crash", Repeatable: true, Crasher: names[turn%len(names)]}
-		c.ask(client, c.fleet.nodes[turn%len(c.fleet.nodes)], kind)
+		c.send(client, c.fleet.nodes[turn%len(c.fleet.nodes)], kind)
 		time.Sleep(crasherPause)
 	}
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -7,203 +7,205 @@
 	"time"
 )
 
-// Promise names what a Violation breaks.
+// Promise is a property that must hold during a soak.
 type Promise string
 
-// Promises.
+// Promises, with the texts that reports show.
 const (
-	OwnAnswer       Promise = "every caller gets the whole answer to its own request"
-	OnceAtMost      Promise = "a request that may not be repeated runs at most once"
-	NotRun          Promise = "what is refused as not run has not run and never will"
-	NothingUnasked  Promise = "back ends run nothing that no caller sent"
-	DrainedIsClosed Promise = "a back end that is leaving gets no new requests"
-	CrashesBounded  Promise = "a request that crashes back ends is stopped after the third"
-	NoOwnExit       Promise = "processes end only when they are told to"
-	Recovery        Promise = "requests are served again after the faults"
-	PlannedStop     Promise = "a planned stop cuts off no request"
+	CompleteAnswer       Promise = "every caller gets the whole answer to its own request"
+	AtMostOnce           Promise = "a request that may not be repeated runs at most once"
+	RefusedNotRun        Promise = "what is refused as not run has not run and never will"
+	OnlySentRequests     Promise = "back ends run nothing that no caller sent"
+	NoRequestsAfterDrain Promise = "a back end that is leaving gets no new requests"
+	CrashesBounded       Promise = "a request that crashes back ends is stopped after the third"
+	NoUnexpectedExit     Promise = "processes end only when they are told to"
+	Recovery             Promise = "requests are served again after the faults"
+	PlannedStop          Promise = "a planned stop cuts off no request"
 )
 
 // Violation is a broken promise.
 type Violation struct {
 	Promise Promise       `json:"promise"`
-	At      time.Duration `json:"at"` // since the start
+	At      time.Duration `json:"at"` // Time since the start of the soak.
 	What    string        `json:"what"`
 }
 
-// Bounds of promises that hold after a time.
+// Bounds of promises that allow for a delay.
 const (
-	// drainTime is the time after which a leaving back end gets no more requests.
+	// drainTime is the time after which a draining back end gets no more requests.
 	drainTime = 2 * time.Second
-	// settleTime is the time without faults after which a process must know what others do.
+	// settleTime is the time without faults after which the state that processes have of each
+	// other must be up to date.
 	settleTime = 3 * time.Second
-	// crashesToKnow is the number of crashes after which a request must be stopped.
-	crashesToKnow = 3
-	// crashesLate is the number of times that it may reach back ends after that, settleTime later.
-	crashesLate = 3
+	// crashesUntilStopped is the number of crashed back ends after which a request must be stopped.
+	crashesUntilStopped = 3
+	// lateRunsAllowed is the number of times that such a request may still reach back ends,
+	// counted from settleTime after the last of these crashes.
+	lateRunsAllowed = 3
 )
 
-// Answer is how a request ended for its caller.
-type Answer struct {
-	Status int  // 0: none, the connection broke
-	Own    bool // a success that is the whole answer to this very request
-	// Planned says that nothing but a planned stop of the process can explain a connection
-	// that broke.
+// Outcome is the outcome of a request for its caller.
+type Outcome struct {
+	Status  int  // HTTP status. 0: the connection broke.
+	Correct bool // The response is complete and belongs to this request.
+	// Planned is set if only a planned stop of the process can explain a broken connection.
 	Planned bool
 }
 
-// Checker is told what callers and back ends see and finds broken promises. It is safe for
-// concurrent use.
+// Checker receives events from callers and back ends and records broken promises. It is safe
+// for concurrent use.
 type Checker struct {
 	started time.Time
 
 	mutex      sync.Mutex
 	requests   map[string]*request
-	closed     map[string]time.Time // incarnations that leave, since when that is acknowledged
-	crashers   map[string]*crasher  // by what the request asks for
-	served     map[string]int       // by kind
-	sent       map[string]int       // by kind
+	draining   map[string]time.Time // Draining incarnations, with the time of the acknowledgement.
+	crashers   map[string]*crasher  // By name, see Kind.Crasher.
+	served     map[string]int       // By kind.
+	sent       map[string]int       // By kind.
 	violations []Violation
 }
 
-// request is one try of a caller.
+// request is the state of one request of a caller.
 type request struct {
-	kind     Kind
-	runs     int
-	promised int // status that promised that it has not run, 0 for none
+	kind    Kind
+	runs    int
+	refusal int // Status of a refusal, which promises that the request doesn't run. 0: none.
 }
 
-// crasher is a request that crashes back ends, over all its tries.
+// crasher is the state of a request that crashes back ends, over all its attempts.
 type crasher struct {
-	instances map[string]bool
-	third     time.Time
-	late      int
+	instances map[string]bool // Incarnations that it reached.
+	thirdAt   time.Time       // When it reached the third one.
+	lateRuns  int             // Runs later than settleTime after that.
 }
 
 // Kind is a kind of request.
 type Kind struct {
 	Name       string
 	Repeatable bool
-	// Crasher names what a request asks for that crashes back ends, "" for others.
+	// Crasher identifies a request that crashes back ends over all its attempts. Empty for
+	// other requests.
 	Crasher string
 }
 
-// NewChecker returns a Checker of a soak that starts now.
+// NewChecker returns a Checker for a soak that starts now.
 func NewChecker(now time.Time) *Checker {
 	return &Checker{
 		started:  now,
 		requests: map[string]*request{},
-		closed:   map[string]time.Time{},
+		draining: map[string]time.Time{},
 		crashers: map[string]*crasher{},
 		served:   map[string]int{},
 		sent:     map[string]int{},
 	}
 }
 
-// Sent tells that a caller is about to send a request.
-func (c *Checker) Sent(id string, kind Kind) {
+// RequestSent records that a caller is about to send a request.
+func (c *Checker) RequestSent(id string, kind Kind) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.requests[id] = &request{kind: kind}
 	c.sent[kind.Name]++
 }
 
-// Ended tells how a request ended for its caller.
-func (c *Checker) Ended(now time.Time, id string, answer Answer) {
+// RequestEnded records the outcome of a request.
+func (c *Checker) RequestEnded(now time.Time, id string, outcome Outcome) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	known := c.requests[id]
-	switch answer.Status {
+	state := c.requests[id]
+	switch outcome.Status {
 	case 0:
-		if answer.Planned && known.runs > 0 {
-			c.violate(now, PlannedStop, "request %s (%s) ran, and its connection broke during a planned stop", id, known.kind.Name)
+		if outcome.Planned && state.runs > 0 {
+			c.violate(now, PlannedStop, "request %s (%s) ran, and its connection broke during a planned stop", id, state.kind.Name)
 		}
 	case 200:
-		if !answer.Own {
-			c.violate(now, OwnAnswer, "request %s got an answer that is not its own whole one", id)
+		if !outcome.Correct {
+			c.violate(now, CompleteAnswer, "request %s got a response that is incomplete or belongs to another request", id)
 			return
 		}
-		c.served[known.kind.Name]++
+		c.served[state.kind.Name]++
 	case 408, 421, 429, 503:
-		known.promised = answer.Status
-		if known.runs > 0 {
-			c.violate(now, NotRun, "request %s (%s) got %d and had run", id, known.kind.Name, answer.Status)
+		state.refusal = outcome.Status
+		if state.runs > 0 {
+			c.violate(now, RefusedNotRun, "request %s (%s) got status %d although it had run", id, state.kind.Name, outcome.Status)
 		}
 	}
 }
 
-// Ran tells that an incarnation has begun to run a request. settled says that no fault has
-// struck lately that excuses late knowledge.
-func (c *Checker) Ran(now time.Time, id, instance string, settled bool) {
+// RequestStarted records that an incarnation has started to run a request. settled is false
+// if the state of processes may still be out of date after a fault.
+func (c *Checker) RequestStarted(now time.Time, id, instance string, settled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if since, leaving := c.closed[instance]; leaving && now.Sub(since) > drainTime {
-		c.violate(now, DrainedIsClosed, "request %s reached %s %s after its leaving was acknowledged", id, instance, now.Sub(since).Round(time.Millisecond))
+	if since, acknowledged := c.draining[instance]; acknowledged && now.Sub(since) > drainTime {
+		c.violate(now, NoRequestsAfterDrain, "request %s reached %s %s after the node acknowledged that it is draining", id, instance, now.Sub(since).Round(time.Millisecond))
 	}
-	known, exists := c.requests[id]
+	state, exists := c.requests[id]
 	if !exists {
 		if !isCall(id) {
-			c.violate(now, NothingUnasked, "request %s ran and nobody had sent it", id)
+			c.violate(now, OnlySentRequests, "request %s ran although no caller sent it", id)
 		}
 		return
 	}
-	known.runs++
-	if !known.kind.Repeatable && known.runs > 1 {
-		c.violate(now, OnceAtMost, "request %s (%s) ran %d times", id, known.kind.Name, known.runs)
+	state.runs++
+	if !state.kind.Repeatable && state.runs > 1 {
+		c.violate(now, AtMostOnce, "request %s (%s) ran %d times", id, state.kind.Name, state.runs)
 	}
-	if known.promised != 0 {
-		c.violate(now, NotRun, "request %s (%s) ran after its caller got %d", id, known.kind.Name, known.promised)
+	if state.refusal != 0 {
+		c.violate(now, RefusedNotRun, "request %s (%s) ran after its caller got status %d", id, state.kind.Name, state.refusal)
 	}
-	if known.kind.Crasher != "" {
-		c.ranCrasher(now, known.kind.Crasher, instance, settled)
+	if state.kind.Crasher != "" {
+		c.crasherStarted(now, state.kind.Crasher, instance, settled)
 	}
 }
 
-// ranCrasher counts a request that crashes back ends. The mutex is held.
-func (c *Checker) ranCrasher(now time.Time, name, instance string, settled bool) {
-	known, exists := c.crashers[name]
+// crasherStarted counts a run of a request that crashes back ends. The caller holds the mutex.
+func (c *Checker) crasherStarted(now time.Time, name, instance string, settled bool) {
+	state, exists := c.crashers[name]
 	if !exists {
-		known = &crasher{instances: map[string]bool{}}
-		c.crashers[name] = known
+		state = &crasher{instances: map[string]bool{}}
+		c.crashers[name] = state
 	}
-	if settled && !known.third.IsZero() && now.Sub(known.third) > settleTime {
-		known.late++
-		if known.late == crashesLate+1 {
-			c.violate(now, CrashesBounded, "%s reached back ends %d times more, %s after the third had crashed", name, known.late, now.Sub(known.third).Round(time.Millisecond))
+	if settled && !state.thirdAt.IsZero() && now.Sub(state.thirdAt) > settleTime {
+		state.lateRuns++
+		if state.lateRuns == lateRunsAllowed+1 {
+			c.violate(now, CrashesBounded, "%s reached back ends %d more times, %s after the third crash", name, state.lateRuns, now.Sub(state.thirdAt).Round(time.Millisecond))
 		}
 	}
-	known.instances[instance] = true
-	if len(known.instances) == crashesToKnow && known.third.IsZero() {
-		known.third = now
+	state.instances[instance] = true
+	if len(state.instances) == crashesUntilStopped && state.thirdAt.IsZero() {
+		state.thirdAt = now
 	}
 }
 
-// Closed tells that the leaving of an incarnation was acknowledged.
-func (c *Checker) Closed(now time.Time, instance string) {
+// DrainAcknowledged records that the node has acknowledged that an incarnation is draining.
+func (c *Checker) DrainAcknowledged(now time.Time, instance string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.closed[instance] = now
+	c.draining[instance] = now
 }
 
-// Violate records a promise that was found broken elsewhere.
+// Violate records a broken promise that was detected outside the Checker.
 func (c *Checker) Violate(now time.Time, promise Promise, format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.violate(now, promise, format, arguments...)
 }
 
-// violate records a broken promise. The mutex is held.
+// violate records a broken promise. The caller holds the mutex.
 func (c *Checker) violate(now time.Time, promise Promise, format string, arguments ...any) {
 	c.violations = append(c.violations, Violation{Promise: promise, At: now.Sub(c.started), What: fmt.Sprintf(format, arguments...)})
 }
 
-// Violations returns the broken promises so far.
+// Violations returns the broken promises recorded so far.
 func (c *Checker) Violations() []Violation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]Violation{}, c.violations...)
 }
 
-// Counts returns how many requests of each kind were sent and served.
+// Counts returns the number of requests sent and served, by kind.
 func (c *Checker) Counts() (sent, served map[string]int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -217,16 +219,16 @@
 	return sent, served
 }
 
-// CrashesOf returns how many back ends each crashing request has crashed.
-func (c *Checker) CrashesOf() map[string]int {
+// Crashes returns the number of back ends that each crashing request has reached.
+func (c *Checker) Crashes() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	crashes := map[string]int{}
-	for name, known := range c.crashers {
-		crashes[name] = len(known.instances)
+	for name, state := range c.crashers {
+		crashes[name] = len(state.instances)
 	}
 	return crashes
 }
 
-// isCall reports whether a request is one that a back end made for another: its id says so.
+// isCall reports whether an id is that of a call made by a back end.
 func isCall(id string) bool { return strings.Contains(id, ".") }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -15,72 +15,72 @@
 	crashes = Kind{Name: "crash", Repeatable: true, Crasher: "x"}
 )
 
-// TestTheCheckerFindsBrokenPromises: each promise that is broken is found, and nothing else.
-func TestTheCheckerFindsBrokenPromises(t *testing.T) {
+// Guards against a Checker that misses a broken promise or reports one that was kept.
+func TestCheckerFindsBrokenPromises(t *testing.T) {
 	at := func(after time.Duration) time.Time { return start.Add(after) }
 	cases := []struct {
 		name   string
-		happen func(c *Checker)
-		broken []Promise
+		events func(c *Checker)
+		want   []Promise
 	}{
-		{"all is well", func(c *Checker) {
-			c.Sent("a", safe)
-			c.Ran(at(0), "a", "i", true)
-			c.Ran(at(0), "a.1", "j", true)
-			c.Ran(at(0), "a", "k", true)
-			c.Ended(at(0), "a", Answer{Status: 200, Own: true})
+		{"no violation", func(c *Checker) {
+			c.RequestSent("a", safe)
+			c.RequestStarted(at(0), "a", "i", true)
+			c.RequestStarted(at(0), "a.1", "j", true)
+			c.RequestStarted(at(0), "a", "k", true)
+			c.RequestEnded(at(0), "a", Outcome{Status: 200, Correct: true})
 		}, nil},
-		{"another's answer", func(c *Checker) {
-			c.Sent("a", safe)
-			c.Ended(at(0), "a", Answer{Status: 200})
-		}, []Promise{OwnAnswer}},
-		{"twice", func(c *Checker) {
-			c.Sent("a", unsafe)
-			c.Ran(at(0), "a", "i", true)
-			c.Ran(at(0), "a", "j", true)
-		}, []Promise{OnceAtMost}},
-		{"refused and had run", func(c *Checker) {
-			c.Sent("a", safe)
-			c.Ran(at(0), "a", "i", true)
-			c.Ended(at(0), "a", Answer{Status: 503})
-		}, []Promise{NotRun}},
-		{"refused and runs later", func(c *Checker) {
-			c.Sent("a", unsafe)
-			c.Ended(at(0), "a", Answer{Status: 503})
-			c.Ran(at(0), "a", "i", true)
-		}, []Promise{NotRun}},
-		{"a failure promises nothing", func(c *Checker) {
-			c.Sent("a", unsafe)
-			c.Ran(at(0), "a", "i", true)
-			c.Ended(at(0), "a", Answer{Status: 502})
+		{"response of another request", func(c *Checker) {
+			c.RequestSent("a", safe)
+			c.RequestEnded(at(0), "a", Outcome{Status: 200})
+		}, []Promise{CompleteAnswer}},
+		{"run twice", func(c *Checker) {
+			c.RequestSent("a", unsafe)
+			c.RequestStarted(at(0), "a", "i", true)
+			c.RequestStarted(at(0), "a", "j", true)
+		}, []Promise{AtMostOnce}},
+		{"refused after it ran", func(c *Checker) {
+			c.RequestSent("a", safe)
+			c.RequestStarted(at(0), "a", "i", true)
+			c.RequestEnded(at(0), "a", Outcome{Status: 503})
+		}, []Promise{RefusedNotRun}},
+		{"run after it was refused", func(c *Checker) {
+			c.RequestSent("a", unsafe)
+			c.RequestEnded(at(0), "a", Outcome{Status: 503})
+			c.RequestStarted(at(0), "a", "i", true)
+		}, []Promise{RefusedNotRun}},
+		{"failed after it ran", func(c *Checker) {
+			c.RequestSent("a", unsafe)
+			c.RequestStarted(at(0), "a", "i", true)
+			c.RequestEnded(at(0), "a", Outcome{Status: 502})
 		}, nil},
-		{"nobody asked", func(c *Checker) { c.Ran(at(0), "a", "i", true) }, []Promise{NothingUnasked}},
-		{"leaving, in time", func(c *Checker) {
-			c.Sent("a", safe)
-			c.Closed(at(0), "i")
-			c.Ran(at(drainTime), "a", "i", true)
+		{"run but not sent", func(c *Checker) { c.RequestStarted(at(0), "a", "i", true) }, []Promise{OnlySentRequests}},
+		{"draining, request in time", func(c *Checker) {
+			c.RequestSent("a", safe)
+			c.DrainAcknowledged(at(0), "i")
+			c.RequestStarted(at(drainTime), "a", "i", true)
 		}, nil},
-		{"leaving, too late", func(c *Checker) {
-			c.Sent("a", safe)
-			c.Closed(at(0), "i")
-			c.Ran(at(drainTime+1), "a", "i", true)
-		}, []Promise{DrainedIsClosed}},
-		{"crashes, known in time", func(c *Checker) {
-			c.Sent("a", crashes)
+		{"draining, request too late", func(c *Checker) {
+			c.RequestSent("a", safe)
+			c.DrainAcknowledged(at(0), "i")
+			c.RequestStarted(at(drainTime+1), "a", "i", true)
+		}, []Promise{NoRequestsAfterDrain}},
+		{"crashes, stopped in time", func(c *Checker) {
+			c.RequestSent("a", crashes)
 			for _, instance := range []string{"i", "j", "k", "l", "m", "n", "o"} {
-				c.Ran(at(0), "a", instance, true)
+				c.RequestStarted(at(0), "a", instance, true)
 			}
 		}, nil},
-		{"crashes, on and on", func(c *Checker) {
-			c.Sent("a", crashes)
+		{"crashes, not stopped", func(c *Checker) {
+			c.RequestSent("a", crashes)
 			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
-				c.Ran(at(time.Duration(i)*2*settleTime), "a", instance, true)
+				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", instance, true)
 			}
 		}, []Promise{CrashesBounded}},
-		{"the same, before the processes have settled", func(c *Checker) {
-			c.Sent("a", crashes)
+		{"crashes, not stopped, not settled", func(c *Checker) {
+			c.RequestSent("a", crashes)
 			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
-				c.Ran(at(time.Duration(i)*2*settleTime), "a", instance, false)
+				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", instance, false)
 			}
 		}, nil},
 	}
@@ -88,12 +88,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			checker := NewChecker(start)
-			c.happen(checker)
+			c.events(checker)
 			found := []Promise(nil)
 			for _, violation := range checker.Violations() {
 				found = append(found, violation.Promise)
 			}
-			is.Equal(found, c.broken)
+			is.Equal(found, c.want)
 		})
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,27 +11,28 @@
 	"github.com/loomcleat/loomcleat/internal/standin/metastore"
 )
 
-// Lengths of the parts of a soak. Faults strike in spells, alone and together; in between,
-// processes hear of each other again, and what takes time to be known must be known.
+// Lengths of the phases of a soak and of their faults. In a fault phase, faults occur alone
+// and together. The calm phase after it is long enough for gossip to converge again.
 const (
-	spellTime = 6 * time.Second
-	calmTime  = 6 * time.Second
-	// faultPause is the longest time between two faults of a spell.
+	faultPhaseTime = 6 * time.Second
+	calmPhaseTime  = 6 * time.Second
+	// faultPause is the upper bound of the random pause between two faults.
 	faultPause = 1500 * time.Millisecond
-	// faultTime is the longest time that a fault lasts.
+	// faultTime bounds the random length of a fault: 0.2 to 1.2 times this.
 	faultTime = 2500 * time.Millisecond
 )
 
-// fault is one kind of fault. It lasts until run returns.
+// fault is a kind of fault.
 type fault struct {
 	name string
-	// unplanned says that what processes know of each other may be late until settleTime
-	// after it.
+	// unplanned is set if the state that processes have of each other may be out of date until
+	// settleTime after the fault.
 	unplanned bool
-	run       func(f *fleet, n *node, duration time.Duration)
+	// run injects the fault and returns when it is over.
+	run func(f *fleet, n *node, duration time.Duration)
 }
 
-// faults are all kinds, drawn with the same chance.
+// faults are all kinds of faults, drawn with equal probability.
 var faults = []fault{
 	{"kill", true, killNode},
 	{"freeze", true, freezeNode},
@@ -59,7 +60,7 @@
 	n.signal(syscall.SIGCONT)
 }
 
-// suspendNode suspends a machine for longer than it takes: its clock says so.
+// suspendNode imitates a suspension that is longer than the fault lasts.
 func suspendNode(f *fleet, n *node, duration time.Duration) {
 	if err := n.suspend(10 * duration); err != nil {
 		f.config.Log("suspending %s: %v", n.name, err)
@@ -68,24 +69,25 @@
 
 func stopNode(f *fleet, n *node, _ time.Duration) {
 	if !n.terminate() {
-		f.checker.Violate(time.Now(), PlannedStop, "%s did not end in order within %s", n.name, 2*stopWithin)
+		f.checker.Violate(time.Now(), PlannedStop, "%s did not stop gracefully within %s", n.name, 2*stopTimeout)
 	}
 	f.restartNode(n)
 }
 
-// killAll kills the drawn node and all others that no other fault has.
+// killAll kills the drawn node and all others without a fault in progress, and then restarts
+// them.
 func killAll(f *fleet, drawn *node, _ time.Duration) {
-	taken := []*node{drawn}
+	locked := []*node{drawn}
 	for _, n := range f.nodes {
 		if n != drawn && n.lock() {
 			defer n.unlock()
-			taken = append(taken, n)
+			locked = append(locked, n)
 		}
 	}
-	for _, n := range taken {
+	for _, n := range locked {
 		n.kill()
 	}
-	for _, n := range taken {
+	for _, n := range locked {
 		f.restartNode(n)
 	}
 }
@@ -105,41 +107,41 @@
 	f.restartBackend(n)
 }
 
-// runSpell lets faults strike for spellTime, drawn by random, and waits for the last of them.
-// Faults overlap, but each node has one at a time.
-func (f *fleet) runSpell(ctx context.Context, random *rand.Rand) {
-	spell, cancel := context.WithTimeout(ctx, spellTime)
+// runFaults injects randomly drawn faults for faultPhaseTime and waits until the last one is over.
+// Faults may overlap, but each node has at most one at a time.
+func (f *fleet) runFaults(ctx context.Context, random *rand.Rand) {
+	phase, cancel := context.WithTimeout(ctx, faultPhaseTime)
 	defer cancel()
-	going := sync.WaitGroup{}
-	for spell.Err() == nil {
+	running := sync.WaitGroup{}
+	for phase.Err() == nil {
 		drawn := faults[random.IntN(len(faults))]
 		n := f.nodes[random.IntN(len(f.nodes))]
 		duration := faultTime/5 + time.Duration(random.Int64N(int64(faultTime)))
 		pause := time.Duration(random.Int64N(int64(faultPause)))
 		if n.lock() {
-			going.Go(func() {
+			running.Go(func() {
 				defer n.unlock()
 				f.inject(drawn, n, duration)
 			})
 		}
 		time.Sleep(pause)
 	}
-	going.Wait()
+	running.Wait()
 }
 
-// inject lets one fault strike a node.
+// inject runs one fault at a node.
 func (f *fleet) inject(drawn fault, n *node, duration time.Duration) {
-	f.config.Log("%s at %s for %s", drawn.name, n.name, duration.Round(time.Millisecond))
+	f.config.Log("fault %s at %s for %s", drawn.name, n.name, duration.Round(time.Millisecond))
 	if drawn.unplanned {
 		defer f.beginFault()()
 	}
 	drawn.run(f, n, duration)
 }
 
-// lock takes a node for a fault and reports false when another one has it.
+// lock reserves a node for a fault. It returns false if another fault is in progress there.
 func (n *node) lock() bool { return n.busy.CompareAndSwap(false, true) }
 
 func (n *node) unlock() { n.busy.Store(false) }
 
-// crasherName names the crashing request of a cycle.
+// crasherName returns the name of the crashing request of a cycle.
 func crasherName(cycle int) string { return fmt.Sprintf("crash-%d", cycle) }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -10,22 +10,22 @@
 	"github.com/loomcleat/loomcleat/internal/standin/metastore"
 )
 
-// What the fleet runs.
+// Settings of the stub back ends and of the nodes.
 const (
-	host         = "soak.example"
-	backendSlots = 32
-	backendWork  = 10 * time.Millisecond
-	backendBeat  = 300 * time.Millisecond
-	stopWithin   = 3 * time.Second
-	// backAfter is the time after which a back end that has crashed is there again.
-	backAfter = time.Second
+	host              = "soak.example"
+	backendSlots      = 32
+	backendWorkTime   = 10 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	stopTimeout       = 3 * time.Second
+	// backendRestartDelay is the delay before a crashed back end is started again.
+	backendRestartDelay = time.Second
 )
 
-// services are called by each other in this order: requests are three deep.
+// services lists the services in call order. A lookup passes through all three.
 var services = []string{"front", "middle", "deep"}
 
-// configuration returns routes to all services, and one to "middle" whose requests may run
-// at most once.
+// configuration returns a platform configuration with a route to each service and one to
+// "middle" whose requests may run at most once.
 func configuration(version int) []byte {
 	routes := []string{}
 	for _, service := range services {
@@ -36,7 +36,7 @@
 	return fmt.Appendf(nil, `{"version":%d,"hosts":[{"host":%q,"paths":[%s]}]}`, version, host, strings.Join(routes, ","))
 }
 
-// fleet is all that a soak runs.
+// fleet holds the processes and stubs of a soak. It observes the back ends.
 type fleet struct {
 	config  Config
 	checker *Checker
@@ -45,13 +45,14 @@
 	nodes   []*node
 
 	mutex        sync.Mutex
-	lastFault    time.Time // end of the last unplanned fault
-	activeFaults int       // unplanned ones that go on
-	version      int       // of the configuration
+	lastFault    time.Time // End of the last unplanned fault.
+	activeFaults int       // Unplanned faults in progress.
+	version      int       // Version of the configuration.
 	closing      bool
 }
 
-// newFleet starts everything. It does not wait until it serves.
+// newFleet starts the store, the nodes and the back ends. It doesn't wait until they serve
+// requests.
 func newFleet(config Config, checker *Checker) (*fleet, error) {
 	f := &fleet{config: config, checker: checker, store: metastore.NewServer(), version: 1}
 	f.server = httptest.NewServer(f.store.Handler())
@@ -63,7 +64,7 @@
 			f.close()
 			return nil, err
 		}
-		n.onExit = f.exited
+		n.onExit = f.recordExit
 		f.nodes = append(f.nodes, n)
 	}
 	for _, n := range f.nodes {
@@ -79,7 +80,7 @@
 	return f, nil
 }
 
-// close ends all that was started.
+// close stops everything that newFleet started.
 func (f *fleet) close() {
 	f.mutex.Lock()
 	f.closing = true
@@ -94,12 +95,12 @@
 	f.server.Close()
 }
 
-// exited takes note of a process that has ended by itself.
-func (f *fleet) exited(n *node, err error) {
-	f.checker.Violate(time.Now(), NoOwnExit, "%s ended by itself: %v", n.name, err)
+// recordExit records an unexpected exit of a process.
+func (f *fleet) recordExit(n *node, err error) {
+	f.checker.Violate(time.Now(), NoUnexpectedExit, "%s exited unexpectedly: %v", n.name, err)
 }
 
-// beginFault notes that an unplanned fault begins, until end is called.
+// beginFault marks an unplanned fault as in progress until end is called.
 func (f *fleet) beginFault() (end func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -112,47 +113,46 @@
 	}
 }
 
-// settled reports whether no unplanned fault has struck for settleTime.
+// settled reports whether no unplanned fault is in progress and settleTime has passed since
+// the last one.
 func (f *fleet) settled() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.activeFaults == 0 && time.Since(f.lastFault) > settleTime
 }
 
-// RequestStarted implements platformbackend.Observer.
 func (f *fleet) RequestStarted(requestID, instance string) {
-	f.checker.Ran(time.Now(), requestID, instance, f.settled())
+	f.checker.RequestStarted(time.Now(), requestID, instance, f.settled())
 }
 
-// Crashed implements platformbackend.Observer.
+// Crashed starts the back end again after a delay.
 func (f *fleet) Crashed(instance string) {
 	for _, n := range f.nodes {
 		if n.backend.Instance() == instance {
-			time.AfterFunc(backAfter, func() { f.restartBackend(n) })
+			time.AfterFunc(backendRestartDelay, func() { f.restartBackend(n) })
 		}
 	}
 }
 
-// DrainAcknowledged implements platformbackend.Observer.
-func (f *fleet) DrainAcknowledged(instance string) { f.checker.Closed(time.Now(), instance) }
+func (f *fleet) DrainAcknowledged(instance string) { f.checker.DrainAcknowledged(time.Now(), instance) }
 
-// restartNode starts the process of a node again, unless the soak ends.
+// restartNode starts the process of a node again, unless the fleet is being closed.
 func (f *fleet) restartNode(n *node) {
 	if f.isClosing() {
 		return
 	}
 	if err := n.start(); err != nil {
-		f.checker.Violate(time.Now(), NoOwnExit, "%s could not be started again: %v", n.name, err)
+		f.checker.Violate(time.Now(), NoUnexpectedExit, "%s could not be restarted: %v", n.name, err)
 	}
 }
 
-// restartBackend begins the next incarnation of a back end, unless the soak ends.
+// restartBackend starts the next incarnation of a back end, unless the fleet is being closed.
 func (f *fleet) restartBackend(n *node) {
 	if f.isClosing() {
 		return
 	}
 	if err := n.backend.Start(); err != nil {
-		f.config.Log("back end of %s: %v", n.name, err)
+		f.config.Log("restarting the back end of %s: %v", n.name, err)
 	}
 }
 
@@ -162,7 +162,7 @@
 	return f.closing
 }
 
-// edit puts a new version of the configuration in the store.
+// edit writes a new version of the configuration to the store.
 func (f *fleet) edit() {
 	f.mutex.Lock()
 	f.version++
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -16,60 +16,60 @@
 	"github.com/loomcleat/loomcleat/internal/standin/platformbackend"
 )
 
-// node is a process of the product, started anew at the same addresses after each end, with
-// the back end beside it.
+// node is a node process and the back end beside it. The process keeps its addresses when it
+// is started again.
 type node struct {
-	name     string
-	service  string
-	program  string
-	file     string // of its settings
-	logFile  string
-	clock    string // file that puts the clock of the process forward, see package clock
-	outbound string
-	backend  *platformbackend.Backend
-
-	busy      atomic.Bool   // a fault has it
-	suspended time.Duration // in all, of the fault that has it
-
-	mutex   sync.Mutex
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	stopped bool // it was told to end; an end without that breaks NoOwnExit
-	orderly bool // it was told to end in order
-	onExit  func(n *node, err error)
+	name         string
+	service      string
+	program      string
+	settingsFile string // Settings of the process.
+	logFile      string
+	clockFile    string // File with the time by which the clock of the process is advanced, see package clock.
+	outbound     string
+	backend      *platformbackend.Backend
+
+	busy      atomic.Bool   // A fault is in progress at this node.
+	suspended time.Duration // Total of all suspensions. Only the fault in progress may use it.
+
+	mutex    sync.Mutex
+	cmd      *exec.Cmd
+	exited   chan struct{}
+	stopped  bool // A stop was requested. An exit without that breaks NoUnexpectedExit.
+	graceful bool // The requested stop is graceful.
+	onExit   func(n *node, err error)
 }
 
-// addresses returns a number of addresses on which nothing listens.
+// addresses returns a number of unused local addresses.
 func addresses(count int) ([]string, error) {
 	found := []string{}
 	for range count {
 		one, err := freeport.Address()
 		if err != nil {
-			return nil, fmt.Errorf("looking for a port: %w", err)
+			return nil, fmt.Errorf("finding a free port: %w", err)
 		}
 		found = append(found, one)
 	}
 	return found, nil
 }
 
-// clockVariable names the file to a program that was built with the tag suspendedclock;
-// others don't know it, and a suspension is a short freeze to them.
-const clockVariable = "LOOMCLEAT_TEST_SUSPENDED"
+// clockFileVariable is the environment variable with the path of the clock file. Only programs
+// built with the tag suspendedclock read it; for others a suspension is just a short freeze.
+const clockFileVariable = "LOOMCLEAT_TEST_SUSPENDED"
 
-// newNode writes the settings of a node. Nothing is started.
+// newNode writes the settings of a node. It doesn't start the process or the back end.
 func newNode(config Config, name, service, store string, observer platformbackend.Observer) (*node, error) {
 	free, err := addresses(7)
 	if err != nil {
 		return nil, err
 	}
 	n := &node{
-		name:     name,
-		service:  service,
-		program:  config.Program,
-		file:     filepath.Join(config.Folder, name+".yaml"),
-		logFile:  filepath.Join(config.Folder, name+".log"),
-		clock:    filepath.Join(config.Folder, name+".suspended"),
-		outbound: free[1],
+		name:         name,
+		service:      service,
+		program:      config.Program,
+		settingsFile: filepath.Join(config.Folder, name+".yaml"),
+		logFile:      filepath.Join(config.Folder, name+".log"),
+		clockFile:    filepath.Join(config.Folder, name+".suspended"),
+		outbound:     free[1],
 	}
 	n.backend = platformbackend.New(platformbackend.Config{
 		Service:           service,
@@ -78,18 +78,18 @@
 		HeartbeatAddress:  free[3],
 		Host:              host,
 		Slots:             backendSlots,
-		WorkTime:          backendWork,
-		HeartbeatInterval: backendBeat,
+		WorkTime:          backendWorkTime,
+		HeartbeatInterval: heartbeatInterval,
 		Observer:          observer,
 	})
 	lines := []string{
 		"id: " + name, "service: " + service, "backend: " + free[0], "outbound: " + n.outbound, "entry: true",
 		"readiness: " + free[2], "heartbeats: " + free[3], "control: " + free[4], "admin: " + free[5], "listen: " + free[6],
 		"store: " + store, "store_api: platform", "policy_required: true", "claims: false",
-		"probe_interval: 500ms", "stop_within: " + stopWithin.String(), "backend_drain: " + drainTime.String(),
+		"probe_interval: 500ms", "stop_within: " + stopTimeout.String(), "backend_drain: " + drainTime.String(),
 		"retry_budget: {ratio: 0.2, slack: 100, window: 10s}", "log: {format: json}",
 	}
-	if err := os.WriteFile(n.file, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(n.settingsFile, []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
 		return nil, fmt.Errorf("writing the settings of %s: %w", name, err)
 	}
 	return n, nil
@@ -101,13 +101,13 @@
 	if err != nil {
 		return fmt.Errorf("opening the log of %s: %w", n.name, err)
 	}
-	defer log.Close() // the process has its own descriptor
+	defer log.Close() // The process has its own descriptor.
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cmd = exec.Command(n.program, "node", "--config", n.file)
-	n.cmd.Env = append(os.Environ(), clockVariable+"="+n.clock)
+	n.cmd = exec.Command(n.program, "node", "--config", n.settingsFile)
+	n.cmd.Env = append(os.Environ(), clockFileVariable+"="+n.clockFile)
 	n.cmd.Stdout, n.cmd.Stderr = log, log
-	n.stopped, n.orderly = false, false
+	n.stopped, n.graceful = false, false
 	n.exited = make(chan struct{})
 	if err := n.cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", n.name, err)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// wait waits for the end of a process and tells when it ended by itself.
+// wait waits until a process exits and calls onExit if no stop was requested.
 func (n *node) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	n.mutex.Lock()
@@ -128,16 +128,16 @@
 	}
 }
 
-// signal sends a signal to the process that was started last.
+// signal sends a signal to the current process.
 func (n *node) signal(signal syscall.Signal) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.cmd != nil && n.cmd.Process != nil {
-		_ = n.cmd.Process.Signal(signal) // it may have ended
+		_ = n.cmd.Process.Signal(signal) // The process may have exited.
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process and waits until it has exited.
 func (n *node) kill() {
 	n.mutex.Lock()
 	n.stopped = true
@@ -148,37 +148,38 @@
 	<-exited
 }
 
-// terminate stops the process in order and reports whether it ended in time.
+// terminate stops the process gracefully. If it doesn't exit in time, terminate kills it and
+// returns false.
 func (n *node) terminate() bool {
 	n.mutex.Lock()
-	n.stopped, n.orderly = true, true
+	n.stopped, n.graceful = true, true
 	exited := n.exited
 	n.mutex.Unlock()
 	n.signal(syscall.SIGTERM)
 	select {
 	case <-exited:
 		return true
-	case <-time.After(2 * stopWithin):
+	case <-time.After(2 * stopTimeout):
 		n.kill()
 		return false
 	}
 }
 
-// suspend stops the process for a moment and lets it go on with a clock that has gone on for
-// longer, as that of a suspended machine.
+// suspend imitates a suspended machine: it freezes the process briefly and advances its
+// clock by duration.
 func (n *node) suspend(duration time.Duration) error {
 	n.signal(syscall.SIGSTOP)
 	defer n.signal(syscall.SIGCONT)
-	time.Sleep(suspensionStop)
+	time.Sleep(suspensionFreeze)
 	n.suspended += duration
-	return writeWhole(n.clock, strconv.FormatInt(int64(n.suspended), 10))
+	return replaceFile(n.clockFile, strconv.FormatInt(int64(n.suspended), 10))
 }
 
-// suspensionStop is how long a process stands still for a suspension.
-const suspensionStop = 200 * time.Millisecond
+// suspensionFreeze is how long the process is frozen for a suspension.
+const suspensionFreeze = 200 * time.Millisecond
 
-// writeWhole replaces a file, so that a reader never sees a part of it.
-func writeWhole(path, text string) error {
+// replaceFile replaces a file atomically.
+func replaceFile(path, text string) error {
 	next := path + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("writing %s: %w", path, err)
@@ -189,9 +190,9 @@
 	return nil
 }
 
-// stopsInOrder reports whether the process was told to stop in order.
-func (n *node) stopsInOrder() bool {
+// stopsGracefully reports whether a graceful stop was requested.
+func (n *node) stopsGracefully() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.orderly
+	return n.graceful
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,32 +12,32 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// TestASoak lets faults strike for half a minute, drawn by fixed seeds. Longer ones are
-// started by hand: loomcleat-lab soak.
-func TestASoak(t *testing.T) {
+// TestSoak guards the promises under half a minute of faults from a fixed seed. Longer soaks
+// are run with loomcleat-lab soak.
+func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "loomcleat")
 	build := exec.Command("go", "build", "-tags", "suspendedclock", "-o", program, "../../cmd/loomcleat")
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, output)
 	}
-	report, err := Run(t.Context(), Config{Program: program, Folder: t.TempDir(), Nodes: leastNodes, Seed: 1, For: 30 * time.Second, Log: t.Logf})
+	report, err := Run(t.Context(), Config{Program: program, Folder: t.TempDir(), Nodes: minimumNodes, Seed: 1, For: 30 * time.Second, Log: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("sent %v, served %v, back ends lost to crashing requests %v", report.Sent, report.Served, report.Crashes)
+	t.Logf("sent %v, served %v, back ends crashed by each crashing request %v", report.Sent, report.Served, report.Crashes)
 	for _, violation := range report.Violations {
 		t.Errorf("%.3f s: %s: %s", violation.At.Seconds(), violation.Promise, violation.What)
 	}
 }
 
-func TestConfigsThatCannotBeUsed(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	cases := []struct {
 		name   string
 		config Config
 	}{
 		{"no program", Config{}},
-		{"too few nodes", Config{Program: "soak_test.go", Nodes: leastNodes - 1}},
-		{"too many nodes", Config{Program: "soak_test.go", Nodes: mostNodes + 1}},
+		{"too few nodes", Config{Program: "soak_test.go", Nodes: minimumNodes - 1}},
+		{"too many nodes", Config{Program: "soak_test.go", Nodes: maximumNodes + 1}},
 		{"too short", Config{Program: "soak_test.go", For: time.Second}},
 		{"too long", Config{Program: "soak_test.go", For: 48 * time.Hour}},
 	}
