--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-func TestAWrongOutcomeIsNoticed(t *testing.T) {
+// Guards against a replay that passes whatever the code decides.
+func TestMismatchReported(t *testing.T) {
 	is := is.New(t)
 	trace := Trace{Player: "spread", Steps: []Step{{Do: "offer", Count: 2, Expect: "revision 2"}, {Do: "offer", Count: 1, Expect: "revision 1"}}}
 	mismatches, err := Play(trace)
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,10 +1,10 @@
-// Package replay plays recorded traces through the decision code in virtual
-// time and compares what it decides with the outcome that the trace states.
+// Package replay runs recorded traces through the decision code in virtual time and
+// compares its decisions with the outcomes in the trace.
 //
-// A trace is a YAML file. Each step has a time after the start and one action;
-// "expect" states what the step must lead to. The package owns the form of traces and one
-// player for each kind of decision code; it relies on that code and, for gossip, on
-// package simulation. The recorded traces lie in testdata.
+// A trace is a YAML file. Each step has a time since the start, one action and, in "expect",
+// the outcome that it must have. The package owns the trace format and one runner for each
+// kind of decision code. It relies on that code and, for gossip, on package simulation. The
+// recorded traces are in testdata.
 package replay
 
 import (
@@ -15,60 +15,61 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Trace is one recorded course of events.
+// Trace is a recorded sequence of events.
 type Trace struct {
 	Name string `yaml:"name"`
-	// Source says where the trace comes from: which test or run recorded it.
+	// Source is the test or run that the trace was recorded from.
 	Source string `yaml:"source"`
-	// Player is the decision code: admission, budget, claims, gossip or spread.
+	// Player selects the decision code: admission, budget, claims, gossip or spread.
 	Player  string  `yaml:"player"`
 	Setting Setting `yaml:"setting"`
 	Steps   []Step  `yaml:"steps"`
 }
 
-// Setting is what the trace begins with. Each player uses some of it.
+// Setting is the initial state of a trace. Each kind of decision code uses some of its
+// fields.
 type Setting struct {
-	Limit     int           `yaml:"limit"`     // admission: requests in flight
-	QueueTime time.Duration `yaml:"queue"`     // admission
-	Grant     int           `yaml:"grant"`     // budget: retries of the request
-	Replicas  []string      `yaml:"replicas"`  // claims: of the first epoch
-	Others    []string      `yaml:"others"`    // claims: further processes
-	Retention time.Duration `yaml:"retention"` // claims
-	Members   int           `yaml:"members"`   // gossip
-	Loss      float64       `yaml:"loss"`      // gossip: share of messages
-	Seed      uint64        `yaml:"seed"`      // gossip
+	Limit     int           `yaml:"limit"`     // Admission: limit of requests in flight.
+	QueueTime time.Duration `yaml:"queue"`     // Admission: maximum queue time.
+	Grant     int           `yaml:"grant"`     // Budget: retries granted to the user request.
+	Replicas  []string      `yaml:"replicas"`  // Claims: replicas of the first epoch.
+	Others    []string      `yaml:"others"`    // Claims: other processes, which later epochs may use.
+	Retention time.Duration `yaml:"retention"` // Claims: time that a claim is kept.
+	Members   int           `yaml:"members"`   // Gossip: number of members.
+	Loss      float64       `yaml:"loss"`      // Gossip: share of messages that are lost, 0 to 1.
+	Seed      uint64        `yaml:"seed"`      // Gossip: seed of the simulation.
 }
 
 // Step is one event of a trace.
 type Step struct {
-	At     time.Duration `yaml:"at"`
-	Do     string        `yaml:"do"`
-	Who    string        `yaml:"who"`    // the process, account or request concerned
-	From   string        `yaml:"from"`   // the other side
-	Key    string        `yaml:"key"`    // claims
-	Run    string        `yaml:"run"`    // claims
-	Class  int           `yaml:"class"`  // admission
-	Left   time.Duration `yaml:"left"`   // admission: time to the deadline; gossip: limit
-	Own    time.Duration `yaml:"own"`    // admission: time of the back end
-	Count  int           `yaml:"count"`  // budget: loan; gossip: member; spread: revision
-	To     []string      `yaml:"to"`     // claims: replicas of a new epoch
-	Expect string        `yaml:"expect"` // what the step must lead to
+	At     time.Duration `yaml:"at"`     // Time since the start.
+	Do     string        `yaml:"do"`     // Action.
+	Who    string        `yaml:"who"`    // Process, account or request that the step is about.
+	From   string        `yaml:"from"`   // Process or account on the other side.
+	Key    string        `yaml:"key"`    // Claims: idempotency key.
+	Run    string        `yaml:"run"`    // Claims: execution that asks.
+	Class  int           `yaml:"class"`  // Admission: priority class.
+	Left   time.Duration `yaml:"left"`   // Admission: time to the deadline; gossip: time limit.
+	Own    time.Duration `yaml:"own"`    // Admission: time spent in the back end itself.
+	Count  int           `yaml:"count"`  // Claims: epoch; gossip: member; spread: revision.
+	To     []string      `yaml:"to"`     // Claims: replicas of the new epoch.
+	Expect string        `yaml:"expect"` // Expected outcome; not checked if empty.
 }
 
-// player plays the steps of one kind of trace. step returns what happened.
-type player interface {
+// runner runs the steps of one kind of trace. step returns the outcome.
+type runner interface {
 	step(step Step) (string, error)
 }
 
-var players = map[string]func(Setting) player{
-	"admission": newAdmissionPlayer,
-	"budget":    newBudgetPlayer,
-	"claims":    newClaimsPlayer,
-	"gossip":    newGossipPlayer,
-	"spread":    newSpreadPlayer,
+var runners = map[string]func(Setting) runner{
+	"admission": newAdmissionRunner,
+	"budget":    newBudgetRunner,
+	"claims":    newClaimsRunner,
+	"gossip":    newGossipRunner,
+	"spread":    newSpreadRunner,
 }
 
-// Load reads a trace.
+// Load reads a trace file. It returns an error for unknown fields and unknown decision code.
 func Load(file string) (Trace, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -78,30 +79,30 @@
 	if err := yaml.UnmarshalWithOptions(data, &trace, yaml.Strict()); err != nil {
 		return Trace{}, fmt.Errorf("%s: %w", file, err)
 	}
-	if _, exists := players[trace.Player]; !exists {
-		return Trace{}, fmt.Errorf("%s: there is no player %q", file, trace.Player)
+	if _, exists := runners[trace.Player]; !exists {
+		return Trace{}, fmt.Errorf("%s: unknown player %q", file, trace.Player)
 	}
 	return trace, nil
 }
 
-// Mismatch is a step that led to something else than the trace states.
+// Mismatch is a step whose outcome differs from the expected one.
 type Mismatch struct {
-	Number int // of the step, from 1
+	Number int // Position of the step, from 1.
 	Step   Step
-	Got    string
+	Got    string // Outcome of the step.
 }
 
-// String describes the mismatch.
 func (m Mismatch) String() string {
-	return fmt.Sprintf("step %d at %s, %s %s: got %q, the trace states %q", m.Number, m.Step.At, m.Step.Do, m.Step.Who, m.Got, m.Step.Expect)
+	return fmt.Sprintf("step %d at %s, %s %s: got %q, want %q", m.Number, m.Step.At, m.Step.Do, m.Step.Who, m.Got, m.Step.Expect)
 }
 
-// Play plays a trace and returns the steps that differ.
+// Play runs a trace and returns the steps whose outcome differs from the expected one. It
+// returns an error for an unknown action.
 func Play(trace Trace) ([]Mismatch, error) {
-	p := players[trace.Player](trace.Setting)
+	r := runners[trace.Player](trace.Setting)
 	mismatches := []Mismatch{}
 	for i, step := range trace.Steps {
-		got, err := p.step(step)
+		got, err := r.step(step)
 		if err != nil {
 			return mismatches, fmt.Errorf("step %d: %w", i+1, err)
 		}
@@ -112,7 +113,7 @@
 	return mismatches, nil
 }
 
-// start is the beginning of virtual time.
+// start is the start of virtual time.
 var start = time.Unix(1_700_000_000, 0)
 
-func unknownAction(step Step) error { return fmt.Errorf("there is no action %q", step.Do) }
+func unknownAction(step Step) error { return fmt.Errorf("unknown action %q", step.Do) }
