--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,6 +1,6 @@
-// Package simulation plays code without I/O or clock in virtual time, for tests and
-// recorded traces. It owns a discrete-event Engine, which runs functions in the order of
-// the virtual time for which they were scheduled, and a MembershipMesh, which plays the
-// gossip of a whole mesh under losses, delays, crashes, freezes and cuts. Runs are
-// repeatable. It relies on package membership only.
+// Package simulation runs code that uses neither I/O nor the system clock in virtual time.
+// Tests and recorded traces use it. It owns the discrete-event Engine, which runs functions
+// in the order of their scheduled virtual time, and MembershipMesh, a simulated cluster
+// whose members gossip under message loss, delays, crashes, freezes and partitions. Runs
+// with the same seed are identical. It relies only on package membership.
 package simulation
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Engine holds the virtual time and the functions that are still to run.
+// Engine is a discrete-event scheduler with a virtual clock. It is not safe for concurrent
+// use.
 type Engine struct {
-	now    time.Time
-	start  time.Time
-	events eventHeap
-	next   int
+	now       time.Time
+	start     time.Time
+	events    eventHeap
+	lastOrder int
 }
 
-// New returns an Engine at the start of virtual time.
+// New returns an Engine whose clock is at a fixed start time and has no scheduled functions.
 func New() *Engine {
 	start := time.Unix(1_700_000_000, 0)
 	return &Engine{now: start, start: start}
@@ -57,13 +58,14 @@
 // Elapsed returns the virtual time since the start.
 func (e *Engine) Elapsed() time.Duration { return e.now.Sub(e.start) }
 
-// After schedules a function after a span of virtual time.
+// After schedules run at the given delay from now. A negative delay counts as 0. Functions
+// scheduled for the same time run in the order of their After calls.
 func (e *Engine) After(wait time.Duration, run func()) {
-	e.next++
-	heap.Push(&e.events, scheduled{e.now.Add(max(wait, 0)), e.next, run})
+	e.lastOrder++
+	heap.Push(&e.events, scheduled{e.now.Add(max(wait, 0)), e.lastOrder, run})
 }
 
-// Run lets a span of virtual time pass.
+// Run advances the virtual clock by span and runs all functions that become due.
 func (e *Engine) Run(span time.Duration) {
 	end := e.now.Add(span)
 	for len(e.events) > 0 && !e.events[0].at.After(end) {
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -8,32 +8,35 @@
 	"github.com/loomcleat/loomcleat/membership"
 )
 
-// MembershipMesh plays the membership machines of a whole mesh in virtual time, with
-// losses, delays, crashes, freezes and cuts. The same seed gives the same run.
+// MembershipMesh is a simulated cluster: it runs the membership machine of each member in
+// virtual time under message loss, delays, crashes, freezes and partitions. Runs with the
+// same seed are identical.
 type MembershipMesh struct {
 	*Engine
 	config  MembershipConfig
 	random  *rand.Rand
 	members []*simulatedMember
 	byAddr  map[string]*simulatedMember
-	Changes []BeliefChange // of what members believe
+	// Changes lists the membership changes that members have seen, oldest first.
+	Changes []StatusChange
 }
 
 // MembershipConfig configures a MembershipMesh.
 type MembershipConfig struct {
 	Members int
 	Seed    uint64
-	// Interval is the probe interval.
+	// Interval is the probe interval. Default 1 s.
 	Interval time.Duration
-	// Loss is the share of messages and of answers that are lost.
+	// Loss is the probability, 0 to 1, that a message or a reply is lost.
 	Loss float64
-	// Slow is the share of members that take longer than the probe timeout for
-	// half of their messages.
+	// Slow is the probability, 0 to 1, that a member is slow. A slow member handles
+	// half of its messages later than the probe timeout.
 	Slow float64
 }
 
-// BeliefChange is one change of what one member believes of another.
-type BeliefChange struct {
+// StatusChange is one change in how Observer sees Member. At is the virtual time since the
+// start.
+type StatusChange struct {
 	At       time.Duration
 	Observer string
 	Member   string
@@ -44,14 +47,16 @@
 type simulatedMember struct {
 	id      string
 	machine *membership.Machine
-	down    bool
+	crashed bool
 	frozen  bool
 	slow    bool
-	side    int // members of different sides cannot reach each other
-	pending []func()
+	// Members of different partitions cannot reach each other.
+	partition int
+	pending   []func()
 }
 
-// NewMembershipMesh starts a mesh whose members know the first one as their seed.
+// NewMembershipMesh returns a cluster whose members use the first member as their seed.
+// Members start when the virtual clock advances.
 func NewMembershipMesh(config MembershipConfig) *MembershipMesh {
 	if config.Interval == 0 {
 		config.Interval = time.Second
@@ -72,7 +77,7 @@
 		Self:          membership.Member{ID: member.id, Control: address(i), Generation: int64(i + 1)},
 		ProbeInterval: m.config.Interval,
 		Random:        rand.New(rand.NewPCG(m.config.Seed, uint64(i)+2)),
-		OnChange:      func(_, after membership.Member) { m.changed(member, after) },
+		OnChange:      func(_, after membership.Member) { m.recordChange(member, after) },
 	}
 	member.machine = membership.New(config, m.Now())
 	member.machine.SetSeeds([]string{address(0)})
@@ -81,13 +86,13 @@
 	m.After(time.Duration(m.random.Int64N(int64(m.config.Interval))), func() { m.tick(member) })
 }
 
-func (m *MembershipMesh) changed(observer *simulatedMember, after membership.Member) {
-	m.Changes = append(m.Changes, BeliefChange{m.Elapsed(), observer.id, after.ID, after.Status, after.Leaving})
+func (m *MembershipMesh) recordChange(observer *simulatedMember, after membership.Member) {
+	m.Changes = append(m.Changes, StatusChange{m.Elapsed(), observer.id, after.ID, after.Status, after.Leaving})
 }
 
-// tick lets one member do what is due, again and again.
+// tick runs the due work of a member and schedules its next tick.
 func (m *MembershipMesh) tick(member *simulatedMember) {
-	if member.down {
+	if member.crashed {
 		return
 	}
 	if !member.frozen {
@@ -96,7 +101,6 @@
 	m.After(m.config.Interval/20, func() { m.tick(member) })
 }
 
-// deliver sends messages of a member.
 func (m *MembershipMesh) deliver(from *simulatedMember, sends []membership.Send) {
 	for _, send := range sends {
 		m.exchange(from, send)
@@ -104,15 +108,16 @@
 }
 
 const (
-	leastDelay = 300 * time.Microsecond
-	delayRange = 2 * time.Millisecond
+	minimumDelay = 300 * time.Microsecond
+	delayRange   = 2 * time.Millisecond
 )
 
 func (m *MembershipMesh) delay() time.Duration {
-	return leastDelay + time.Duration(m.random.Int64N(int64(delayRange)))
+	return minimumDelay + time.Duration(m.random.Int64N(int64(delayRange)))
 }
 
-// exchange plays one message and its answer.
+// exchange simulates one message and its reply. The sender times out after half of the
+// probe interval.
 func (m *MembershipMesh) exchange(from *simulatedMember, send membership.Send) {
 	answered := false
 	m.After(m.config.Interval/2, func() {
@@ -122,7 +127,7 @@
 		}
 	})
 	to := m.byAddr[send.To]
-	if !m.reaches(from, to) || m.lost() {
+	if !m.reachable(from, to) || m.lost() {
 		return
 	}
 	m.After(m.delay(), func() {
@@ -130,9 +135,9 @@
 			reply := to.machine.Receive(m.Now(), send.Message)
 			if send.Message.Kind == membership.PingThrough {
 				target := m.byAddr[send.Message.Target]
-				reply.OK = m.reaches(to, target) && !target.frozen && !m.lost() && !m.lost() && !m.late(target)
+				reply.OK = m.reachable(to, target) && !target.frozen && !m.lost() && !m.lost() && !m.late(target)
 			}
-			if m.lost() || !m.reaches(to, from) {
+			if m.lost() || !m.reachable(to, from) {
 				return
 			}
 			m.After(m.delay(), func() {
@@ -148,26 +153,27 @@
 
 func (m *MembershipMesh) lost() bool { return m.random.Float64() < m.config.Loss }
 
-// late reports whether a slow member misses the probe timeout this time.
+// late draws whether a slow member misses the probe timeout for one message.
 func (m *MembershipMesh) late(member *simulatedMember) bool {
 	return member.slow && m.random.IntN(2) == 0
 }
 
-// reaches reports whether a message can get from one member to another.
-func (m *MembershipMesh) reaches(from, to *simulatedMember) bool {
-	return to != nil && !to.down && !from.down && from.side == to.side
+// reachable reports whether messages from one member can reach the other.
+func (m *MembershipMesh) reachable(from, to *simulatedMember) bool {
+	return to != nil && !to.crashed && !from.crashed && from.partition == to.partition
 }
 
-// receive runs a function in a member: at once, late when it is slow, or when
-// it wakes up.
+// receive runs the handler of a message at a member: immediately, on Wake if the member is
+// frozen, or one probe interval later if it is late. A member that has crashed, or that is
+// frozen by the time a late message is due, drops the message.
 func (m *MembershipMesh) receive(member *simulatedMember, run func()) {
 	switch {
-	case member.down:
+	case member.crashed:
 	case member.frozen:
 		member.pending = append(member.pending, run)
 	case m.late(member):
 		m.After(m.config.Interval, func() {
-			if !member.down && !member.frozen {
+			if !member.crashed && !member.frozen {
 				run()
 			}
 		})
@@ -176,16 +182,17 @@
 	}
 }
 
-// Crash ends a member at once.
-func (m *MembershipMesh) Crash(i int) { m.members[i].down = true }
+// Crash stops a member without notice.
+func (m *MembershipMesh) Crash(i int) { m.members[i].crashed = true }
 
-// Leave lets a member announce that it leaves.
+// Leave makes a member announce that it leaves.
 func (m *MembershipMesh) Leave(i int) { m.members[i].machine.SetState(true, false) }
 
-// Freeze pauses a member.
+// Freeze pauses a member. Its incoming messages are kept until Wake.
 func (m *MembershipMesh) Freeze(i int) { m.members[i].frozen = true }
 
-// Wake ends a pause: what arrived meanwhile is handled first.
+// Wake resumes a frozen member: its timers run first, then the messages that arrived while
+// it was frozen.
 func (m *MembershipMesh) Wake(i int) {
 	member := m.members[i]
 	member.frozen = false
@@ -197,33 +204,34 @@
 	}
 }
 
-// Cut separates the members from the given index on from the others.
+// Cut partitions the network: members with an index of at least from are separated from
+// the others.
 func (m *MembershipMesh) Cut(from int) {
 	for i, member := range m.members {
-		member.side = 0
+		member.partition = 0
 		if i >= from {
-			member.side = 1
+			member.partition = 1
 		}
 	}
 }
 
-// Heal ends a cut.
+// Heal removes the partition.
 func (m *MembershipMesh) Heal() { m.Cut(len(m.members)) }
 
-// Agree reports whether all members that run believe the same of all members.
+// Agree reports whether every running member sees exactly the running members as alive.
 func (m *MembershipMesh) Agree() bool {
 	for _, observer := range m.members {
-		if observer.down {
+		if observer.crashed {
 			continue
 		}
-		believed := map[string]membership.Status{}
+		statuses := map[string]membership.Status{}
 		for _, known := range observer.machine.Members() {
-			believed[known.ID] = known.Status
+			statuses[known.ID] = known.Status
 		}
 		for _, member := range m.members {
-			status, exists := believed[member.id]
+			status, exists := statuses[member.id]
 			alive := exists && status == membership.Alive
-			if alive == member.down {
+			if alive == member.crashed {
 				return false
 			}
 		}
@@ -231,8 +239,8 @@
 	return true
 }
 
-// RunUntil lets time pass until a condition holds and returns how long that
-// took, or false when it did not come within the limit.
+// RunUntil advances the virtual clock until the condition holds. It returns the elapsed
+// virtual time, and false if the condition does not hold within the limit.
 func (m *MembershipMesh) RunUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	started := m.Now()
 	for m.Now().Sub(started) < limit {
@@ -244,13 +252,13 @@
 	return limit, condition()
 }
 
-// FalseRemovals counts beliefs that a member that runs is dead, since the given
-// time.
+// FalseRemovals counts the changes to dead, since the given virtual time, of members that
+// have not crashed, over all observers.
 func (m *MembershipMesh) FalseRemovals(since time.Duration) int {
 	count := 0
 	for _, change := range m.Changes {
 		for _, member := range m.members {
-			if member.id == change.Member && !member.down && change.Status == membership.Dead && change.At >= since {
+			if member.id == change.Member && !member.crashed && change.Status == membership.Dead && change.At >= since {
 				count++
 			}
 		}
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -10,8 +10,8 @@
 	"github.com/loomcleat/loomcleat/membership"
 )
 
-// TestMembershipUnderFaults plays faults of single members and of the network in
-// virtual time. After each fault, all members that run must agree again.
+// TestMembershipUnderFaults guards against membership that does not converge after a
+// fault of members or of the network.
 func TestMembershipUnderFaults(t *testing.T) {
 	const members = 24
 	cases := []struct {
@@ -19,19 +19,19 @@
 		loss  float64
 		fault func(*MembershipMesh)
 	}{
-		{"nothing", 0, func(*MembershipMesh) {}},
-		{"a crash", 0, func(m *MembershipMesh) { m.Crash(5) }},
-		{"a crash with a tenth of messages lost", 0.1, func(m *MembershipMesh) { m.Crash(5) }},
-		{"six crashes at once", 0, func(m *MembershipMesh) {
+		{"no fault", 0, func(*MembershipMesh) {}},
+		{"crash", 0, func(m *MembershipMesh) { m.Crash(5) }},
+		{"crash with one tenth of the messages lost", 0.1, func(m *MembershipMesh) { m.Crash(5) }},
+		{"six simultaneous crashes", 0, func(m *MembershipMesh) {
 			for i := 3; i < 9; i++ {
 				m.Crash(i)
 			}
 		}},
-		{"the seed crashes", 0, func(m *MembershipMesh) { m.Crash(0) }},
-		{"a short freeze", 0, func(m *MembershipMesh) { m.Freeze(4); m.Run(2 * time.Second); m.Wake(4) }},
-		{"a long freeze", 0, func(m *MembershipMesh) { m.Freeze(4); m.Run(time.Minute); m.Wake(4) }},
-		{"the mesh is cut in halves for five minutes", 0, func(m *MembershipMesh) { m.Cut(members / 2); m.Run(5 * time.Minute); m.Heal() }},
-		{"one member is cut off for a minute", 0, func(m *MembershipMesh) { m.Cut(members - 1); m.Run(time.Minute); m.Heal() }},
+		{"crash of the seed", 0, func(m *MembershipMesh) { m.Crash(0) }},
+		{"2 s freeze", 0, func(m *MembershipMesh) { m.Freeze(4); m.Run(2 * time.Second); m.Wake(4) }},
+		{"1 min freeze", 0, func(m *MembershipMesh) { m.Freeze(4); m.Run(time.Minute); m.Wake(4) }},
+		{"partition into halves for 5 min", 0, func(m *MembershipMesh) { m.Cut(members / 2); m.Run(5 * time.Minute); m.Heal() }},
+		{"partition of one member for 1 min", 0, func(m *MembershipMesh) { m.Cut(members - 1); m.Run(time.Minute); m.Heal() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,65 +57,64 @@
 		m.Wake(4)
 		m.Run(time.Minute)
 		for _, change := range m.Changes {
-			blamed := change.At >= began && change.Status == membership.Dead && change.Member != "m0004"
-			is.True(!blamed) // nobody but the frozen one was removed
+			falselyRemoved := change.At >= began && change.Status == membership.Dead && change.Member != "m0004"
+			is.True(!falselyRemoved) // only the frozen member may be removed
 		}
 	}
 }
 
-// TestLeavingIsKnownSoon times announcements to leave, which all members must know of
-// within two seconds, and crashes, which all must know of within twenty. Nobody is
-// removed who is there.
-func TestLeavingIsKnownSoon(t *testing.T) {
+// TestLeaveAndCrashPropagation guards against removals without a fault and against slow
+// propagation: all members must see a leave within 2 s and a crash within 20 s (medians).
+func TestLeaveAndCrashPropagation(t *testing.T) {
 	is := is.New(t)
 	m := NewMembershipMesh(MembershipConfig{Members: 64, Seed: 5})
 	m.RunUntil(5*time.Minute, m.Agree)
-	quiet := m.Elapsed()
+	settled := m.Elapsed()
 	m.Run(10 * time.Second)
-	is.Equal(m.FalseRemovals(quiet), 0)
+	is.Equal(m.FalseRemovals(settled), 0)
 	var leaves, crashes []time.Duration
 	for trial := range 3 {
 		victim := len(m.members) - 1 - trial
 		began := m.Elapsed()
 		m.Leave(victim)
 		leave, _ := m.RunUntil(2*time.Minute, func() bool {
-			return m.allKnow(victim, began, func(c BeliefChange) bool { return c.Leaving })
+			return m.allObserved(victim, began, func(c StatusChange) bool { return c.Leaving })
 		})
 		leaves = append(leaves, leave)
 		began = m.Elapsed()
 		m.Crash(victim)
 		crash, _ := m.RunUntil(2*time.Minute, func() bool {
-			return m.allKnow(victim, began, func(c BeliefChange) bool { return c.Status == membership.Dead })
+			return m.allObserved(victim, began, func(c StatusChange) bool { return c.Status == membership.Dead })
 		})
 		crashes = append(crashes, crash)
 	}
 	slices.Sort(leaves)
 	slices.Sort(crashes)
-	t.Logf("leaves known after %v, crashes after %v", leaves, crashes)
-	is.True(leaves[1] < 2*time.Second) // the median
-	is.True(crashes[1] < 20*time.Second)
+	t.Logf("all members saw the leaves after %v, the crashes after %v", leaves, crashes)
+	is.True(leaves[1] < 2*time.Second)   // median time until all members see a leave
+	is.True(crashes[1] < 20*time.Second) // median time until all members see a crash
 }
 
-// allKnow reports whether all members that run have seen a change of the victim since a
-// time.
-func (m *MembershipMesh) allKnow(victim int, since time.Duration, matches func(BeliefChange) bool) bool {
-	know := map[string]bool{}
+// allObserved reports whether every other running member has seen a matching change of the
+// victim since the given virtual time.
+func (m *MembershipMesh) allObserved(victim int, since time.Duration, matches func(StatusChange) bool) bool {
+	observed := map[string]bool{}
 	for _, change := range m.Changes {
 		if change.At >= since && change.Member == m.members[victim].id && matches(change) {
-			know[change.Observer] = true
+			observed[change.Observer] = true
 		}
 	}
 	for i, member := range m.members {
-		if !member.down && i != victim && !know[member.id] {
+		if !member.crashed && i != victim && !observed[member.id] {
 			return false
 		}
 	}
 	return true
 }
 
-// TestASlowMemberIsNotRemoved: members that miss half of their probes, while messages are
-// lost, are suspected again and again, and contradict in time.
-func TestASlowMemberIsNotRemoved(t *testing.T) {
+// TestSlowMembersAreNotRemoved guards against removing members that miss half of their
+// probes under message loss: they must refute each suspicion in time.
+func TestSlowMembersAreNotRemoved(t *testing.T) {
 	is := is.New(t)
 	m := NewMembershipMesh(MembershipConfig{Members: 32, Seed: 1, Loss: 0.05, Slow: 0.1})
 	m.RunUntil(time.Minute, m.Agree)
