--- a/internal/emulator/attempt_test.go
+++ b/internal/emulator/attempt_test.go
@@ -6,55 +6,58 @@
 	"github.com/loomcleat/loomcleat/balance"
 )
 
-// attempt is one attempt of a call.
+// attempt is one attempt of a call: one request sent to one back end.
 type attempt struct {
-	w       *world
+	c       *cluster
 	from    caller
 	service string
-	path    string // by which levels are told apart
+	// Key of the level: class and service.
+	path    string
 	target  *backend
 	started time.Time
-	work    *work
+	job     *job
 	ended   bool
 	done    func(reply)
 }
 
-// attempt makes one attempt of the call to the i-th service of the chain.
-func (w *world) attempt(from caller, r *request, i int, loan int, tried *[]string, done func(reply)) {
-	service := w.mesh.services[i].name
-	path := w.mesh.kinds[r.kind].class.String() + " " + service
-	target, refusal := w.choose(from, r, service, path, tried)
+// attempt makes one attempt of the call to the i-th service of the chain. allowance is the
+// number of retries that are delegated to the back end.
+func (c *cluster) attempt(from caller, r *request, i int, allowance int, tried *[]string, done func(reply)) {
+	service := c.mesh.services[i].name
+	path := c.mesh.kinds[r.kind].class.String() + " " + service
+	target, refusal := c.choose(from, r, service, path, tried)
 	if target == nil {
-		refusal.unspent = loan
+		refusal.unspent = allowance
 		done(refusal)
 		return
 	}
-	a := &attempt{w: w, from: from, service: service, path: path, target: target, started: w.Now(), work: &work{}, done: done}
-	w.After(a.patience(r), a.giveUp)
+	a := &attempt{c: c, from: from, service: service, path: path, target: target, started: c.Now(), job: &job{}, done: done}
+	c.After(a.timeout(r), a.giveUp)
 	delay := delayBetween(from.zone, target.zone)
-	w.After(delay, func() {
-		w.serve(target, r, i, loan, a.work, func(got reply) {
-			w.After(delay, func() { a.end(got, balance.Answered) })
+	c.After(delay, func() {
+		c.serve(target, r, i, allowance, a.job, func(response reply) {
+			c.After(delay, func() { a.end(response, balance.Answered) })
 		})
 	})
 }
 
-// choose picks a back end. It returns nil when the call is refused early.
-func (w *world) choose(from caller, r *request, service, path string, tried *[]string) (*backend, reply) {
-	b := w.balancer(from, service)
-	if level := b.Level(w.Now(), path); r.priority < level {
+// choose picks a back end for the call, preferring those not yet tried. It returns nil and
+// the refusal if the priority is below the level or no back end is available.
+func (c *cluster) choose(from caller, r *request, service, path string, tried *[]string) (*backend, reply) {
+	b := c.balancer(from, service)
+	if level := b.Level(c.Now(), path); r.priority < level {
 		return nil, reply{refused: true, final: true, level: level}
 	}
-	target, found := b.Pick(w.Now(), balance.Need{Path: path, Priority: r.priority, Exclude: *tried})
-	if !found { // all were tried: begin again
+	target, found := b.Pick(c.Now(), balance.Need{Path: path, Priority: r.priority, Exclude: *tried})
+	if !found { // all were tried: allow all of them again
 		*tried = nil
-		target, found = b.Pick(w.Now(), balance.Need{Path: path, Priority: r.priority})
+		target, found = b.Pick(c.Now(), balance.Need{Path: path, Priority: r.priority})
 	}
 	if !found {
 		return nil, reply{refused: true, final: true}
 	}
 	*tried = append(*tried, target.ID)
-	for _, candidate := range w.backends[service] {
+	for _, candidate := range c.backends[service] {
 		if candidate.id == target.ID {
 			return candidate, reply{}
 		}
@@ -63,43 +66,45 @@
 }
 
 const (
-	// An attempt of a request that may be repeated is given up after so many usual
-	// times of its back end, but not before the least time.
-	attemptLatencies = 8
-	leastAttemptTime = 500 * time.Millisecond
+	// An attempt of a repeatable request times out after attemptLatencies times the
+	// typical latency of its back end, but not before minimumAttemptTime.
+	attemptLatencies   = 8
+	minimumAttemptTime = 500 * time.Millisecond
 )
 
-// patience returns the time after which the attempt is given up.
-func (a *attempt) patience(r *request) time.Duration {
+// timeout returns the time after which the attempt is abandoned: the time left to the
+// deadline, or less if the request is repeatable.
+func (a *attempt) timeout(r *request) time.Duration {
 	left := r.deadline.Sub(a.started)
-	if !a.w.mesh.kinds[r.kind].repeatable {
+	if !a.c.mesh.kinds[r.kind].repeatable {
 		return left
 	}
-	usual := a.w.balancer(a.from, a.service).Latency(a.target.id)
-	return min(left, max(attemptLatencies*usual, leastAttemptTime))
+	typical := a.c.balancer(a.from, a.service).Latency(a.target.id)
+	return min(left, max(attemptLatencies*typical, minimumAttemptTime))
 }
 
 func (a *attempt) giveUp() {
 	if !a.ended {
-		a.work.cancelled = true
+		a.job.cancelled = true
 		a.end(reply{}, balance.Failed)
 	}
 }
 
-// end tells the balancer of the outcome, and the caller of the answer.
-func (a *attempt) end(got reply, outcome balance.Outcome) {
+// end reports the outcome to the balancer and the reply to the caller. Later calls do
+// nothing.
+func (a *attempt) end(response reply, outcome balance.Outcome) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	now := a.w.Now()
-	b := a.w.balancer(a.from, a.service)
+	now := a.c.Now()
+	b := a.c.balancer(a.from, a.service)
 	b.Done(now, a.target.id, now.Sub(a.started), outcome)
 	if outcome == balance.Answered {
-		b.SetLevel(now, a.target.id, a.path, got.level)
-		got.level = b.Level(now, a.path)
+		b.SetLevel(now, a.target.id, a.path, response.level)
+		response.level = b.Level(now, a.path)
 	}
-	a.done(got)
+	a.done(response)
 }
 
 func delayBetween(a, b int) time.Duration {
--- a/internal/emulator/backend_test.go
+++ b/internal/emulator/backend_test.go
@@ -15,117 +15,117 @@
 	service     *service
 	zone        int
 	controller  *admission.Controller
-	busy        int // slots
-	waiting     []*work
+	busySlots   int
+	waiting     []*job
 	connections int
-	slow        float64 // factor of the work
+	slowdown    float64 // factor on the service's own work
 }
 
-// work is one request at a back end.
-type work struct {
+// job is one request at a back end.
+type job struct {
 	run       func()
 	cancelled bool
 }
 
 func newBackend(now time.Time, of *service, number int) *backend {
 	return &backend{
-		id:      fmt.Sprintf("%s-%d", of.name, number),
-		service: of,
-		zone:    number % zones,
-		slow:    1,
+		id:       fmt.Sprintf("%s-%d", of.name, number),
+		service:  of,
+		zone:     number % zones,
+		slowdown: 1,
 		controller: admission.NewController(now, admission.Config{
-			MaximumLimit: policy.DefaultConcurrencyMax, // it does not know the slots
+			MaximumLimit: policy.DefaultConcurrencyMax, // as in the daemon, the controller does not know the number of slots
 			QueueTime:    policy.DefaultQueueTime,
 		}),
 	}
 }
 
-// serve plays a request that has arrived at the node of a back end.
-func (w *world) serve(b *backend, r *request, i int, loan int, item *work, done func(reply)) {
-	account := retrybudget.Open(loan)
-	level := func() int { return b.controller.State(w.Now()).Level }
-	asked := admission.Request{Priority: r.priority, Deadline: r.deadline, Committed: i > 0}
+// serve simulates the node of a back end: it admits, queues or refuses a request.
+func (c *cluster) serve(b *backend, r *request, i int, allowance int, item *job, done func(reply)) {
+	account := retrybudget.Open(allowance)
+	level := func() int { return b.controller.State(c.Now()).Level }
+	admissionRequest := admission.Request{Priority: r.priority, Deadline: r.deadline, Committed: i > 0}
 	var ticket *admission.Ticket
-	ended := func(got reply, own time.Duration) {
-		b.controller.Done(w.Now(), ticket, admission.Outcome{Own: own, Refused: got.refused, Counted: !item.cancelled})
-		got.level = max(got.level, level())
-		got.unspent = account.Close()
-		got.refused = false // it ran
-		done(got)
+	onEnd := func(response reply, ownTime time.Duration) {
+		b.controller.Done(c.Now(), ticket, admission.Outcome{Own: ownTime, Refused: response.refused, Counted: !item.cancelled})
+		response.level = max(response.level, level())
+		response.unspent = account.Close()
+		response.refused = false // the request was admitted, so it counts as run
+		done(response)
 	}
-	ticket = b.controller.Ask(w.Now(), asked, func(verdict admission.Verdict) {
-		w.After(0, func() { // the controller must not be called from its callback
+	ticket = b.controller.Ask(c.Now(), admissionRequest, func(verdict admission.Verdict) {
+		c.After(0, func() { // the controller must not be called from its callback
 			if verdict != admission.Admitted {
 				done(reply{refused: true, final: verdict == admission.TooLate, unspent: account.Close(), level: level()})
 				return
 			}
-			w.enter(b, r, i, account, item, ended)
+			c.execute(b, r, i, account, item, onEnd)
 		})
 	})
-	w.After(policy.DefaultQueueTime, func() { b.controller.Expire(w.Now()) })
+	c.After(policy.DefaultQueueTime, func() { b.controller.Expire(c.Now()) })
 }
 
-// enter plays a request inside a back end: a connection, a slot or the queue for
-// one, the own work, then the call to the next service, for which the slot is
-// given back but the connection is kept. ended gets the time that the back end
-// itself took.
-func (w *world) enter(b *backend, r *request, i int, account *retrybudget.Account, item *work, ended func(reply, time.Duration)) {
+// execute simulates a request inside a back end: it takes a connection, waits for a slot,
+// does the own work, releases the slot and calls the next service. The connection is held
+// until the end. onEnd receives the reply and the time that the back end itself took.
+func (c *cluster) execute(b *backend, r *request, i int, account *retrybudget.Account, item *job, onEnd func(reply, time.Duration)) {
 	if b.connections >= b.service.slots+b.service.queue {
-		ended(reply{refused: true}, 0) // it sheds
+		onEnd(reply{refused: true}, 0)
 		return
 	}
 	b.connections++
-	arrived := w.Now()
-	leave := func(got reply, own time.Duration) {
+	arrived := c.Now()
+	respond := func(response reply, ownTime time.Duration) {
 		b.connections--
-		ended(got, own)
+		onEnd(response, ownTime)
 	}
 	item.run = func() {
 		if item.cancelled {
-			w.release(b)
-			leave(reply{}, w.Now().Sub(arrived))
+			c.release(b)
+			respond(reply{}, c.Now().Sub(arrived))
 			return
 		}
-		w.work(b, r, func() {
-			w.release(b)
-			w.callNext(b, r, i, account, w.Now().Sub(arrived), leave)
+		c.runWork(b, r, func() {
+			c.release(b)
+			c.callNext(b, r, i, account, c.Now().Sub(arrived), respond)
 		})
 	}
-	if b.busy < b.service.slots {
-		b.busy++
+	if b.busySlots < b.service.slots {
+		b.busySlots++
 		item.run()
 		return
 	}
 	b.waiting = append(b.waiting, item)
 }
 
-// work takes the own time of a request. Half of it is fixed.
-func (w *world) work(b *backend, r *request, done func()) {
-	duration := time.Duration(float64(w.exponential(b.service.work)/2+b.service.work/2) * b.slow)
-	w.After(duration, func() {
-		r.used += duration
+// runWork simulates the own work of a request. Half of the mean duration is constant, the
+// other half exponentially distributed.
+func (c *cluster) runWork(b *backend, r *request, done func()) {
+	duration := time.Duration(float64(c.exponential(b.service.work)/2+b.service.work/2) * b.slowdown)
+	c.After(duration, func() {
+		r.slotTime += duration
 		done()
 	})
 }
 
-// callNext calls the next service, or ends a request at the last one.
-func (w *world) callNext(b *backend, r *request, i int, account *retrybudget.Account, own time.Duration, leave func(reply, time.Duration)) {
-	if i == len(w.mesh.services)-1 {
-		leave(reply{ok: true}, own)
+// callNext calls the next service, or responds if this is the last one.
+func (c *cluster) callNext(b *backend, r *request, i int, account *retrybudget.Account, ownTime time.Duration, respond func(reply, time.Duration)) {
+	if i == len(c.mesh.services)-1 {
+		respond(reply{ok: true}, ownTime)
 		return
 	}
-	w.call(caller{b.id, b.zone}, r, i+1, account, func(got reply) {
-		leave(reply{ok: got.ok, level: got.level}, own)
+	c.call(caller{b.id, b.zone}, r, i+1, account, func(response reply) {
+		respond(reply{ok: response.ok, level: response.level}, ownTime)
 	})
 }
 
-// release gives a slot to the next request that waits.
-func (w *world) release(b *backend) {
+// release passes the slot to the next waiting request, or frees it if none waits.
+func (c *cluster) release(b *backend) {
 	if len(b.waiting) == 0 {
-		b.busy--
+		b.busySlots--
 		return
 	}
 	next := b.waiting[0]
 	b.waiting = b.waiting[1:]
-	w.After(0, next.run)
+	c.After(0, next.run)
 }
--- a/internal/emulator/model_test.go
+++ b/internal/emulator/model_test.go
@@ -10,15 +10,15 @@
 type service struct {
 	name     string
 	backends int
-	slots    int           // of each back end; one is held during own work
-	queue    int           // requests beyond the slots that a back end takes before it sheds
-	work     time.Duration // mean own work of a request
+	slots    int           // per back end; a request holds one during its own work
+	queue    int           // requests beyond slots that a back end accepts before it refuses
+	work     time.Duration // mean own work of a request, without calls to other services
 }
 
 // kind is one kind of user request. Each passes through all services of the mesh.
 type kind struct {
 	class      policy.Class
-	share      float64 // of the demand
+	share      float64 // share of the demand
 	repeatable bool
 }
 
@@ -31,17 +31,16 @@
 const (
 	zones    = 3
 	gateways = 2
-	// requestTime is the time from the sending of a user request to its deadline.
-	requestTime = time.Second
-	// zoneDelay is the time that a message takes between two zones, localDelay
-	// within one.
+	// requestTimeout is the time from sending a user request to its deadline.
+	requestTimeout = time.Second
+	// zoneDelay is the one-way network delay between two zones, localDelay within a zone.
 	zoneDelay  = 500 * time.Microsecond
 	localDelay = 100 * time.Microsecond
-	// callerDelay is the time that a message takes between a caller and a gateway.
-	callerDelay = time.Millisecond
+	// clientDelay is the one-way network delay between a client and a gateway.
+	clientDelay = time.Millisecond
 )
 
-// chain returns a mesh whose last service is the narrowest.
+// chain returns a mesh whose last service is the bottleneck.
 func chain() mesh {
 	return mesh{
 		services: []service{
@@ -59,19 +58,19 @@
 	}
 }
 
-// capacity returns the rate of user requests, a second, at which the narrowest
-// service is fully used when nothing is wasted.
+// capacity returns the rate, in user requests per second, at which the bottleneck service
+// is fully used if no work is wasted.
 func (m mesh) capacity() float64 {
-	lowest := 0.0
+	minimum := 0.0
 	for _, service := range m.services {
-		needed := 0.0 // slot seconds of one average user request
+		slotSeconds := 0.0 // per average user request
 		for _, kind := range m.kinds {
-			needed += kind.share * service.work.Seconds()
+			slotSeconds += kind.share * service.work.Seconds()
 		}
-		rate := float64(service.backends*service.slots) / needed
-		if lowest == 0 || rate < lowest {
-			lowest = rate
+		rate := float64(service.backends*service.slots) / slotSeconds
+		if minimum == 0 || rate < minimum {
+			minimum = rate
 		}
 	}
-	return lowest
+	return minimum
 }
--- a/internal/emulator/world_test.go
+++ b/internal/emulator/world_test.go
@@ -13,30 +13,30 @@
 	"github.com/loomcleat/loomcleat/retrybudget"
 )
 
-// world is a mesh under load.
-type world struct {
+// cluster is a simulated cluster under load.
+type cluster struct {
 	*simulation.Engine
 	random    *rand.Rand
 	mesh      mesh
 	capacity  float64
 	backends  map[string][]*backend
 	gateways  []caller
-	balancers map[string]*balance.Balancer  // by caller and service
-	ratios    map[string]*retrybudget.Ratio // the same
+	balancers map[string]*balance.Balancer  // by caller and service, separated by a space
+	ratios    map[string]*retrybudget.Ratio // by caller and service, separated by a space
 	requests  uint64
 	retries   int
 	outcomes  []outcome
-	useful    time.Duration // work for requests that completed
-	wasted    time.Duration // work for others
+	useful    time.Duration // work for user requests that completed
+	wasted    time.Duration // work for user requests that did not complete
 }
 
-// outcome is how one user request ended.
+// outcome is the outcome of one user request. Times are virtual, from the start.
 type outcome struct {
 	sent      time.Duration
 	ended     time.Duration
 	kind      int
 	completed bool
-	first     bool // not a repetition by the caller
+	first     bool // first attempt, not a retry by the client
 }
 
 // caller is a process that calls services: a gateway or the node of a back end.
@@ -45,8 +45,8 @@
 	zone int
 }
 
-func newWorld(m mesh, seed uint64) *world {
-	w := &world{
+func newCluster(m mesh, seed uint64) *cluster {
+	c := &cluster{
 		Engine:    simulation.New(),
 		random:    rand.New(rand.NewPCG(seed, 99)),
 		mesh:      m,
@@ -58,78 +58,79 @@
 	for i := range m.services {
 		service := &m.services[i]
 		for number := range service.backends {
-			w.backends[service.name] = append(w.backends[service.name], newBackend(w.Now(), service, number))
+			c.backends[service.name] = append(c.backends[service.name], newBackend(c.Now(), service, number))
 		}
 	}
 	for i := range gateways {
-		w.gateways = append(w.gateways, caller{id: fmt.Sprintf("gateway-%d", i), zone: i % zones})
+		c.gateways = append(c.gateways, caller{id: fmt.Sprintf("gateway-%d", i), zone: i % zones})
 	}
-	return w
+	return c
 }
 
-// exponential draws an exponentially distributed span with the given mean.
-func (w *world) exponential(mean time.Duration) time.Duration {
-	return time.Duration(w.random.ExpFloat64() * float64(mean))
+// exponential draws an exponentially distributed duration with the given mean.
+func (c *cluster) exponential(mean time.Duration) time.Duration {
+	return time.Duration(c.random.ExpFloat64() * float64(mean))
 }
 
-// setSlow changes the factor of the work of a service.
-func (w *world) setSlow(service string, factor float64) {
-	for _, b := range w.backends[service] {
-		b.slow = factor
+// setSlowdown sets the factor on the own work of a service.
+func (c *cluster) setSlowdown(service string, factor float64) {
+	for _, b := range c.backends[service] {
+		b.slowdown = factor
 	}
 }
 
-// balancer returns the balancer of a caller for a service.
-func (w *world) balancer(from caller, service string) *balance.Balancer {
+// balancer returns the balancer of a caller for a service and creates it on first use.
+func (c *cluster) balancer(from caller, service string) *balance.Balancer {
 	key := from.id + " " + service
-	if known, exists := w.balancers[key]; exists {
-		return known
+	if existing, exists := c.balancers[key]; exists {
+		return existing
 	}
-	created := balance.New(balance.Config{Region: "r", Zone: strconv.Itoa(from.zone), Random: w.random.IntN})
+	created := balance.New(balance.Config{Region: "r", Zone: strconv.Itoa(from.zone), Random: c.random.IntN})
 	targets := []balance.Target{}
-	for _, b := range w.backends[service] {
+	for _, b := range c.backends[service] {
 		targets = append(targets, balance.Target{ID: b.id, Region: "r", Zone: strconv.Itoa(b.zone)})
 	}
-	created.Update(w.Now().Add(-time.Hour), targets) // none of them is new
-	w.balancers[key] = created
+	created.Update(c.Now().Add(-time.Hour), targets) // in the past, so that no target counts as new
+	c.balancers[key] = created
 	return created
 }
 
-// ratio returns the bound on retries of a caller at a service.
-func (w *world) ratio(from caller, service string) *retrybudget.Ratio {
+// ratio returns the retry ratio of a caller for a service and creates it on first use.
+func (c *cluster) ratio(from caller, service string) *retrybudget.Ratio {
 	key := from.id + " " + service
-	if _, exists := w.ratios[key]; !exists {
-		w.ratios[key] = retrybudget.NewRatio(w.Now())
+	if _, exists := c.ratios[key]; !exists {
+		c.ratios[key] = retrybudget.NewRatio(c.Now())
 	}
-	return w.ratios[key]
+	return c.ratios[key]
 }
 
-// request is a user request on its way.
+// request is a user request in flight.
 type request struct {
 	kind     int
 	priority int
 	deadline time.Time
-	used     time.Duration // slot time spent for it
+	slotTime time.Duration // own work done for it by all back ends
 }
 
-// reply is the answer of a call.
+// reply is the reply to a call.
 type reply struct {
 	ok      bool
 	refused bool // not run
-	final   bool // it makes no sense to repeat the call
-	unspent int  // retries that come back
+	final   bool // a retry cannot succeed
+	unspent int  // unused retries of the allowance
 	level   int
 }
 
-// send begins a user request and calls done with its outcome.
-func (w *world) send(kind int, done func(ok bool)) {
-	w.requests++
+// send sends a user request through a random gateway. done is called once, with false if
+// the request fails or its deadline passes.
+func (c *cluster) send(kind int, done func(ok bool)) {
+	c.requests++
 	r := &request{
 		kind:     kind,
-		priority: admission.Priority(int(w.mesh.kinds[kind].class), strconv.FormatUint(w.requests, 10)),
-		deadline: w.Now().Add(requestTime),
+		priority: admission.Priority(int(c.mesh.kinds[kind].class), strconv.FormatUint(c.requests, 10)),
+		deadline: c.Now().Add(requestTimeout),
 	}
-	gateway := w.gateways[w.random.IntN(len(w.gateways))]
+	gateway := c.gateways[c.random.IntN(len(c.gateways))]
 	account := retrybudget.Open(policy.DefaultRetryBudget)
 	finished := false
 	end := func(ok bool) {
@@ -138,45 +139,46 @@
 		}
 		finished = true
 		if ok {
-			w.useful += r.used
+			c.useful += r.slotTime
 		} else {
-			w.wasted += r.used
+			c.wasted += r.slotTime
 		}
 		done(ok)
 	}
-	w.After(requestTime, func() { end(false) }) // the caller gives up
-	w.After(callerDelay, func() {
-		w.call(gateway, r, 0, account, func(got reply) {
-			w.After(callerDelay, func() { end(got.ok) })
+	c.After(requestTimeout, func() { end(false) })
+	c.After(clientDelay, func() {
+		c.call(gateway, r, 0, account, func(response reply) {
+			c.After(clientDelay, func() { end(response.ok) })
 		})
 	})
 }
 
 // call makes the call to the i-th service of the chain, with retries.
-func (w *world) call(from caller, r *request, i int, account *retrybudget.Account, done func(reply)) {
-	service := w.mesh.services[i].name
-	w.ratio(from, service).Call(w.Now(), policy.DefaultRetryRatio)
+func (c *cluster) call(from caller, r *request, i int, account *retrybudget.Account, done func(reply)) {
+	service := c.mesh.services[i].name
+	c.ratio(from, service).Call(c.Now(), policy.DefaultRetryRatio)
 	tried := []string{}
 	var try func()
 	try = func() {
-		loan := account.Lend()
-		w.attempt(from, r, i, loan, &tried, func(got reply) {
-			account.Repay(loan, got.unspent)
-			if got.ok || got.final || !w.Now().Before(r.deadline) || !w.mayRepeat(from, service, r, got, account) {
-				done(got)
+		allowance := account.Lend()
+		c.attempt(from, r, i, allowance, &tried, func(response reply) {
+			account.Repay(allowance, response.unspent)
+			if response.ok || response.final || !c.Now().Before(r.deadline) || !c.takeRetry(from, service, r, response, account) {
+				done(response)
 				return
 			}
-			w.retries++
+			c.retries++
 			try()
 		})
 	}
 	try()
 }
 
-// mayRepeat decides on a retry and spends it.
-func (w *world) mayRepeat(from caller, service string, r *request, got reply, account *retrybudget.Account) bool {
-	if !got.refused && !w.mesh.kinds[r.kind].repeatable {
+// takeRetry reports whether the call may be retried, and takes the retry from the account
+// and the ratio.
+func (c *cluster) takeRetry(from caller, service string, r *request, response reply, account *retrybudget.Account) bool {
+	if !response.refused && !c.mesh.kinds[r.kind].repeatable {
 		return false
 	}
-	return account.Spend() && w.ratio(from, service).Retry(w.Now())
+	return account.Spend() && c.ratio(from, service).Retry(c.Now())
 }
