--- a/internal/lab/bench_test.go
+++ b/internal/lab/bench_test.go
@@ -15,16 +15,16 @@
 	"github.com/loomcleat/loomcleat/policy"
 )
 
-// BenchmarkCall compares a call to a back end through a gateway and a node with
-// one straight to the back end, at 1 and at 64 callers. All run in one program,
-// so that the processor time of the back end and of the callers is in both.
+// BenchmarkCall compares calls to a back end through a gateway and a node with direct
+// calls, at 1 and at 64 callers. Everything runs in one program, so the processor time of
+// the back end and of the callers is included in both.
 func BenchmarkCall(b *testing.B) {
-	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	graph := backend.Graph{"s0": {}}
-	// The limit must not refuse any of the callers: the added time is measured.
-	enough := []policy.Change{{Path: "/", Key: "concurrency_min", Value: "100"}, {Path: "/", Key: "queue_time", Value: "5s"}}
-	mesh, err := StartMesh(ctx, MeshConfig{Graph: graph, Backends: 1, Gateways: 1, Policy: enough})
+	// No call may be refused, since the added latency is measured.
+	highLimits := []policy.Change{{Path: "/", Key: "concurrency_min", Value: "100"}, {Path: "/", Key: "queue_time", Value: "5s"}}
+	mesh, err := StartMesh(ctx, MeshConfig{Graph: graph, Backends: 1, Gateways: 1, Policy: highLimits})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 				_, _ = io.Copy(io.Discard, response.Body)
 				response.Body.Close()
 				if response.StatusCode != http.StatusOK {
-					b.Errorf("status %d", response.StatusCode)
+					b.Errorf("response status %d, want 200", response.StatusCode)
 					return
 				}
 				mutex.Lock()
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -7,7 +7,7 @@
 	"github.com/loomcleat/loomcleat/policy"
 )
 
-// DemoGraph is the call graph of the demo: bookings check a fare and charge.
+// DemoGraph returns the call graph of the demo: a booking looks up a fare, then charges.
 func DemoGraph() backend.Graph {
 	return backend.Graph{
 		"booking": {Slots: 20, Queue: 100, Routes: []backend.Route{
@@ -24,7 +24,7 @@
 	}
 }
 
-// DemoPolicy is the policy tree of the demo.
+// DemoPolicy returns the edits that build the policy tree of the demo.
 func DemoPolicy() []policy.Change {
 	return []policy.Change{
 		{Path: "ferries", Key: "class", Value: "interactive"},
@@ -34,7 +34,7 @@
 	}
 }
 
-// DemoLoad is the load of the demo: mostly reading, some bookings.
+// DemoLoad returns the load of the demo: three reads for each booking.
 func DemoLoad() []LoadRequest {
 	read := LoadRequest{Service: "booking", Method: "GET", Path: "/sailings"}
 	book := LoadRequest{Service: "booking", Method: "POST", Path: "/bookings"}
--- a/internal/lab/hop_bench_test.go
+++ b/internal/lab/hop_bench_test.go
@@ -15,14 +15,14 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-// BenchmarkNode measures what one node does for each call that another process sends
-// to its back end. Caller and back end write and read fixed bytes, so that nearly all
-// of the processor time and of the allocations is the node's.
+// BenchmarkNode measures the cost of one inbound call at a node. The caller and the back
+// end read and write fixed bytes, so that nearly all processor time and allocations are
+// those of the node.
 func BenchmarkNode(b *testing.B) {
-	ctx, cancel := context.WithTimeout(context.Background(), testPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	enough := []policy.Change{{Path: "/", Key: "concurrency_min", Value: "100"}, {Path: "/", Key: "queue_time", Value: "5s"}}
-	mesh, err := StartMesh(ctx, MeshConfig{Policy: enough})
+	highLimits := []policy.Change{{Path: "/", Key: "concurrency_min", Value: "100"}, {Path: "/", Key: "queue_time", Value: "5s"}}
+	mesh, err := StartMesh(ctx, MeshConfig{Policy: highLimits})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -49,29 +49,30 @@
 	}
 }
 
-const fixedAnswer = "HTTP/1.1 200 OK\r\nX-Response-Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\nContent-Length: 600\r\n\r\n"
+const fixedResponse = "HTTP/1.1 200 OK\r\nX-Response-Seal: 3e1b.07.5a2.600.0.c9f2a4d1\r\nContent-Length: 600\r\n\r\n"
 
-// serveFixed answers each request on its connections with the same bytes.
+// serveFixed starts a server that answers every request with the same bytes, and returns
+// its address.
 func serveFixed(b *testing.B) (address string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = listener.Close() })
-	answer := []byte(fixedAnswer + strings.Repeat("x", 600))
+	response := []byte(fixedResponse + strings.Repeat("x", 600))
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go answerFixed(conn, answer)
+			go respondFixed(conn, response)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func answerFixed(conn net.Conn, answer []byte) {
+func respondFixed(conn net.Conn, response []byte) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -82,13 +83,13 @@
 		if len(bytes.TrimSpace(line)) > 0 {
 			continue
 		}
-		if _, err := conn.Write(answer); err != nil {
+		if _, err := conn.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// callFixed sends calls one after the other on one connection.
+// callFixed sends the given number of calls sequentially on one connection.
 func callFixed(b *testing.B, address string, calls int) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -111,14 +112,14 @@
 	}
 }
 
-// readFixed reads one answer with a body of the fixed length.
+// readFixed reads one response of serveFixed, whose status must be 200.
 func readFixed(reader *bufio.Reader) error {
 	status, err := reader.ReadString('\n')
 	if err != nil {
 		return err
 	}
 	if !strings.Contains(status, " 200 ") {
-		return fmt.Errorf("the node answered %q", status)
+		return fmt.Errorf("unexpected status line of the node: %q", status)
 	}
 	for {
 		line, err := reader.ReadSlice('\n')
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -13,26 +13,27 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// LoadConfig describes a bounded load.
+// LoadConfig configures RunLoad.
 type LoadConfig struct {
 	Target      string        // base URL of a gateway
-	Requests    []LoadRequest // used in turn
-	Concurrency int           // callers at once
+	Requests    []LoadRequest // sent round-robin
+	Concurrency int           // number of concurrent clients, each with one request in flight
 	Duration    time.Duration
 }
 
 // LoadRequest is one kind of request.
 type LoadRequest struct {
-	Service string // the Host
+	Service string // value of the Host header
 	Method  string
 	Path    string
 }
 
-// Summary is the outcome of a load.
+// Summary holds the results of a load run. Latencies are those of completed requests.
+// RunLoad leaves Retries to its caller.
 type Summary struct {
 	Requests  int     `json:"requests"`
 	Completed int     `json:"completed"`
-	Refused   int     `json:"refused"` // not run, told so
+	Refused   int     `json:"refused"` // reported as not run
 	Failed    int     `json:"failed"`
 	Retries   int64   `json:"retries"`
 	P50       float64 `json:"p50_ms"`
@@ -40,32 +41,33 @@
 	Seconds   float64 `json:"seconds"`
 }
 
-// Bounds of the latency histogram, in microseconds.
+// Bounds of the latency histogram in microseconds, and its significant digits.
 const (
 	lowestLatency  = 1
 	highestLatency = 60_000_000
 	latencyDigits  = 3
 )
 
-// loader collects the outcomes of callers.
-type loader struct {
+// loadGenerator sends requests and collects their outcomes.
+type loadGenerator struct {
 	mutex     sync.Mutex
 	summary   Summary
 	histogram *hdrhistogram.Histogram
 }
 
-// RunLoad sends requests until the duration has passed or ctx ends.
+// RunLoad sends requests until the duration has passed or ctx is done, and waits for those
+// in flight.
 func RunLoad(ctx context.Context, config LoadConfig) Summary {
 	ctx, cancel := context.WithTimeout(ctx, config.Duration)
 	defer cancel()
 	transport := &http.Transport{MaxIdleConnsPerHost: config.Concurrency, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
-	l := &loader{histogram: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
+	l := &loadGenerator{histogram: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
 	started := time.Now()
 	var group sync.WaitGroup
-	for caller := range config.Concurrency {
-		group.Go(func() { l.call(ctx, client, config, caller) })
+	for index := range config.Concurrency {
+		group.Go(func() { l.runClient(ctx, client, config, index) })
 	}
 	group.Wait()
 	l.summary.Seconds = time.Since(started).Seconds()
@@ -74,30 +76,31 @@
 	return l.summary
 }
 
-// call is one caller.
-func (l *loader) call(ctx context.Context, client *http.Client, config LoadConfig, offset int) {
-	for i := offset; ctx.Err() == nil; i++ {
-		wanted := config.Requests[i%len(config.Requests)]
+// runClient sends requests one after the other until ctx is done, starting with the
+// request at index.
+func (l *loadGenerator) runClient(ctx context.Context, client *http.Client, config LoadConfig, index int) {
+	for i := index; ctx.Err() == nil; i++ {
+		spec := config.Requests[i%len(config.Requests)]
 		started := time.Now()
-		// A request that has been started is not cut off at the end.
-		request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), wanted.Method, config.Target+wanted.Path, nil)
+		// Requests in flight are not cancelled when the load ends.
+		request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), spec.Method, config.Target+spec.Path, nil)
 		if err != nil {
 			return
 		}
-		request.Host = wanted.Service
+		request.Host = spec.Service
 		response, err := client.Do(request)
 		l.record(response, err, started)
 	}
 }
 
-func (l *loader) record(response *http.Response, err error, started time.Time) {
+func (l *loadGenerator) record(response *http.Response, err error, started time.Time) {
 	refused := false
 	if err == nil {
 		_, err = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
 		refused = response.Header.Get(result.HeaderOutcome) == result.OutcomeNotRun
 	}
-	taken := time.Since(started)
+	latency := time.Since(started)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.summary.Requests++
@@ -108,11 +111,11 @@
 		l.summary.Failed++
 	default:
 		l.summary.Completed++
-		_ = l.histogram.RecordValue(max(taken.Microseconds(), lowestLatency))
+		_ = l.histogram.RecordValue(max(latency.Microseconds(), lowestLatency))
 	}
 }
 
-// Text shows a summary for people.
+// Text returns the summary as one line of text.
 func (s Summary) Text() string {
 	return "requests " + strconv.Itoa(s.Requests) +
 		", completed " + strconv.Itoa(s.Completed) +
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -1,7 +1,7 @@
-// Package lab runs a whole mesh of nodes and gateways inside one program, with stand-ins for
+// Package lab runs a complete mesh of nodes and gateways inside one program, with stubs for
 // the key-value store, the machine list and the back ends. The demo, tests and benchmarks
-// use it. It owns what it starts until Close, and relies on package daemon to open the
-// processes as the program does.
+// use it. A Mesh owns the processes and servers that it starts until Close. The package
+// relies on package daemon to open processes in the same way as the program does.
 package lab
 
 import (
@@ -23,11 +23,11 @@
 	"github.com/loomcleat/loomcleat/store/consulkv"
 )
 
-// The HTTP framework logs through one logger for the whole program. Here it is
-// switched off; programs that want its messages call daemon.UseLibraryLog.
+// The HTTP framework logs through one logger per program. It is disabled here; programs
+// that need its messages call daemon.UseLibraryLog.
 func init() { daemon.UseLibraryLog(event.Discard()) }
 
-// MeshConfig describes a mesh.
+// MeshConfig configures a Mesh.
 type MeshConfig struct {
 	// Graph is the call graph; each of its services gets Backends back ends.
 	Graph backend.Graph
@@ -35,18 +35,18 @@
 	Backends int
 	// Gateways is the number of gateways.
 	Gateways int
-	// Zones are the names of the zones, used in turn. Default one zone.
+	// Zones are the names of the zones, assigned to processes round-robin. Default z1.
 	Zones []string
-	// Policy is the first edit of the policy tree.
+	// Policy is the first edit of the policy tree. May be empty.
 	Policy []policy.Change
-	// Log receives the events of all processes. Default none.
+	// Log receives the events of all processes. Default event.Discard.
 	Log *event.Logger
-	// Adjust changes the settings of each process. May be nil.
+	// Adjust, if set, changes the settings of each process before it is opened.
 	Adjust func(*settings.Settings)
-	// Dial returns what the process with the given settings id reaches others through.
+	// Dial, if set, returns the dial function of the process with the given settings id.
 	// Default TCP.
 	Dial func(id string) kernel.DialFunc
-	// KeepRecords makes back ends remember each request that they ran.
+	// KeepRecords makes back ends record each request that they run.
 	KeepRecords bool
 }
 
@@ -72,7 +72,7 @@
 	count  int
 }
 
-// StartMesh starts a mesh and waits until all processes are ready.
+// StartMesh starts a mesh and waits until all processes are ready or ctx is done.
 func StartMesh(ctx context.Context, config MeshConfig) (*Mesh, error) {
 	if len(config.Zones) == 0 {
 		config.Zones = []string{"z1"}
@@ -134,7 +134,7 @@
 	return s
 }
 
-// open makes a process, starts it and enters it in the machine list.
+// open opens and starts a process, and registers it in the machine list.
 func (m *Mesh) open(s settings.Settings) (*kernel.Process, error) {
 	var dial kernel.DialFunc
 	if m.config.Dial != nil {
@@ -152,7 +152,7 @@
 	return process, nil
 }
 
-// catalogRow is the row of the machine list for a process.
+// catalogRow returns the machine list entry of a process.
 func catalogRow(process *kernel.Process) consulkv.CatalogRow {
 	address, _ := net.ResolveTCPAddr("tcp", process.ControlAddress())
 	return consulkv.CatalogRow{
@@ -163,7 +163,7 @@
 	}
 }
 
-// AddGateway starts a gateway.
+// AddGateway starts a gateway. It does not wait until the gateway is ready.
 func (m *Mesh) AddGateway() (*kernel.Process, error) {
 	process, err := m.open(m.settingsFor(settings.RoleGateway))
 	if err != nil {
@@ -175,7 +175,7 @@
 	return process, nil
 }
 
-// AddNode starts a back end and its node.
+// AddNode starts a back end and its node. It does not wait until the node is ready.
 func (m *Mesh) AddNode(service string) (*Node, error) {
 	stub, err := backend.Start(backend.Config{Service: m.config.Graph[service], KeepRecord: m.config.KeepRecords})
 	if err != nil {
@@ -197,13 +197,13 @@
 	return node, nil
 }
 
-// Stop ends a node and its back end in order.
+// Stop stops a node and then its back end gracefully.
 func (n *Node) Stop() {
 	_ = n.Process.Stop(context.Background())
 	_ = n.Backend.Shutdown(context.Background())
 }
 
-// Processes returns all processes.
+// Processes returns all gateways and nodes that were started, including stopped ones.
 func (m *Mesh) Processes() []*kernel.Process {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -214,8 +214,7 @@
 	return all
 }
 
-// waitReady waits until all processes take requests, know each other and the
-// claim groups.
+// waitReady waits until every process is ready, sees all members and has the claim groups.
 func (m *Mesh) waitReady(ctx context.Context) error {
 	return waitFor(ctx, "the mesh to be ready", func() bool {
 		all := m.Processes()
@@ -244,7 +243,7 @@
 	return nil
 }
 
-// Close ends everything at once.
+// Close kills all processes and closes the back ends and the stub platform.
 func (m *Mesh) Close() {
 	for _, process := range m.Processes() {
 		process.Kill()
--- a/internal/lab/mesh_test.go
+++ b/internal/lab/mesh_test.go
@@ -20,12 +20,12 @@
 	"github.com/loomcleat/loomcleat/settings"
 )
 
-const testPatience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// startTestMesh starts a mesh that ends with the test.
+// startTestMesh starts a mesh and closes it when the test ends.
 func startTestMesh(t *testing.T, config MeshConfig) *Mesh {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	mesh, err := StartMesh(ctx, config)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return mesh
 }
 
-// ask sends one request to the first gateway and reads the whole answer.
-func ask(ctx context.Context, mesh *Mesh, service, method, path string, header map[string]string, body io.Reader) (*http.Response, string, error) {
+// sendRequest sends one request to the first gateway and reads the complete response.
+func sendRequest(ctx context.Context, mesh *Mesh, service, method, path string, header map[string]string, body io.Reader) (*http.Response, string, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+mesh.Gateways[0].TrafficAddress()+path, body)
 	if err != nil {
 		return nil, "", err
@@ -56,8 +56,8 @@
 
 var testClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 
-// chainOf returns a call graph in which each service makes width calls at once
-// to the next one.
+// chainOf returns a call graph of depth services in which each service makes width parallel
+// calls to the next one.
 func chainOf(depth, width int) backend.Graph {
 	graph := backend.Graph{}
 	for i := range depth {
@@ -74,7 +74,7 @@
 	return graph
 }
 
-// retries returns the number of retries that all processes made.
+// retries returns the number of retries by all processes.
 func retries(mesh *Mesh) int64 {
 	total := int64(0)
 	for _, process := range mesh.Processes() {
@@ -89,14 +89,14 @@
 		name         string
 		depth, width int
 		faults       backend.Faults
-		deepest      bool // only the deepest service fails
+		onlyDeepest  bool // only the deepest service fails
 	}{
-		{"depth 21, every hop fails after it ran", 21, 1, backend.Faults{FailShare: 1}, false},
+		{"depth 21, every hop fails after execution", 21, 1, backend.Faults{FailShare: 1}, false},
 		{"depth 21, every answer is lost", 21, 1, backend.Faults{CutShare: 1}, false},
-		{"depth 21, the deepest fails", 21, 1, backend.Faults{FailShare: 1}, true},
+		{"depth 21, the deepest service fails", 21, 1, backend.Faults{FailShare: 1}, true},
 		{"fan-out 8, the leaves fail", 2, 8, backend.Faults{FailShare: 1}, true},
-		{"fan-out 8, the leaves' answers are lost", 2, 8, backend.Faults{CutShare: 1}, true},
-		{"depth 3, fan-out 3, half of all fails", 3, 3, backend.Faults{FailShare: 0.5, CutShare: 0.2}, false},
+		{"fan-out 8, the responses of the leaves are lost", 2, 8, backend.Faults{CutShare: 1}, true},
+		{"depth 3, fan-out 3, half of the calls fail", 3, 3, backend.Faults{FailShare: 0.5, CutShare: 0.2}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 				Policy: []policy.Change{{Path: "/", Key: "retry_budget", Value: fmt.Sprint(budget)}, {Path: "/", Key: "retry_ratio", Value: "1"}},
 			})
 			for _, node := range mesh.Nodes {
-				if !c.deepest || node.Service == fmt.Sprintf("s%d", c.depth-1) {
+				if !c.onlyDeepest || node.Service == fmt.Sprintf("s%d", c.depth-1) {
 					node.Backend.SetFaults(c.faults)
 				}
 			}
@@ -114,8 +114,8 @@
 			for i := range requests {
 				before := retries(mesh)
 				tag := fmt.Sprint("request ", i)
-				_, _, _ = ask(t.Context(), mesh, "s0", "GET", "/x", map[string]string{backend.HeaderTag: tag}, nil)
-				is.True(retries(mesh)-before <= budget) // as the processes count
+				_, _, _ = sendRequest(t.Context(), mesh, "s0", "GET", "/x", map[string]string{backend.HeaderTag: tag}, nil)
+				is.True(retries(mesh)-before <= budget) // retries counted by the processes exceed the budget
 				entered := 0
 				for _, node := range mesh.Nodes {
 					if node.Service != "s0" {
@@ -127,70 +127,70 @@
 						}
 					}
 				}
-				is.True(entered <= 1+budget) // as the first back end records
+				is.True(entered <= 1+budget) // attempts recorded by the first back end exceed the budget
 			}
 		})
 	}
 }
 
-func TestEveryCallerGetsTheWholeAnswerToItsOwnRequest(t *testing.T) {
+func TestResponsesMatchRequests(t *testing.T) {
 	is := is.New(t)
 	graph := chainOf(2, 1)
 	mesh := startTestMesh(t, MeshConfig{Graph: graph, Backends: 2, Gateways: 1})
 	const callers, requests = 32, 60
 	var group sync.WaitGroup
 	var mutex sync.Mutex
-	broken, whole := 0, 0
+	broken, complete := 0, 0
 	for caller := range callers {
 		group.Go(func() {
 			source := rand.New(rand.NewPCG(1, uint64(caller)))
 			for i := range requests {
-				proof := fmt.Sprintf("%d/%d/%s", caller, i, strings.Repeat("x", source.IntN(20000)))
-				header := map[string]string{backend.HeaderTag: proof[:min(len(proof), 40)]}
-				ctx, cancel := context.WithTimeout(context.Background(), testPatience)
-				var body io.Reader = strings.NewReader(proof)
+				payload := fmt.Sprintf("%d/%d/%s", caller, i, strings.Repeat("x", source.IntN(20000)))
+				header := map[string]string{backend.HeaderTag: payload[:min(len(payload), 40)]}
+				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+				var body io.Reader = strings.NewReader(payload)
 				fault := source.IntN(10)
 				switch fault {
 				case 0:
 					header[backend.HeaderBytes], header[backend.HeaderCut] = "5000", "1"
 				case 1:
 					header[backend.HeaderBytes], header[backend.HeaderCut], header[backend.HeaderChunks] = "5000", "1", "1"
-				case 2: // the caller goes away in the middle
+				case 2: // the caller cancels the request
 					header[backend.HeaderDelay] = "20ms"
 					time.AfterFunc(time.Duration(source.IntN(20))*time.Millisecond, cancel)
 				case 3:
 					body = io.MultiReader(body) // chunked
 				}
-				response, got, err := ask(ctx, mesh, "s0", "PUT", fmt.Sprintf("/echo/%d/%d", caller, i), header, body)
+				response, got, err := sendRequest(ctx, mesh, "s0", "PUT", fmt.Sprintf("/echo/%d/%d", caller, i), header, body)
 				cancel()
 				mutex.Lock()
 				if err != nil {
 					broken++
 				} else if response.StatusCode == http.StatusOK {
-					whole++
-					if fault < 2 || got != proof {
-						t.Errorf("caller %d request %d got a wrong answer of %d bytes", caller, i, len(got))
+					complete++
+					if fault < 2 || got != payload {
+						t.Errorf("caller %d request %d got a wrong response of %d bytes", caller, i, len(got))
 					}
 				}
 				mutex.Unlock()
 				if err == nil && response.StatusCode == http.StatusOK && response.Header.Get(backend.HeaderSeenTarget) != fmt.Sprintf("/echo/%d/%d", caller, i) {
-					t.Errorf("caller %d request %d got the answer to %s", caller, i, response.Header.Get(backend.HeaderSeenTarget))
+					t.Errorf("caller %d request %d got the response to %s", caller, i, response.Header.Get(backend.HeaderSeenTarget))
 				}
 			}
 		})
 	}
 	group.Wait()
-	is.True(whole > callers*requests/2) // the others were cut on purpose
-	is.True(broken > 0)
+	is.True(complete > callers*requests/2) // at most half may fail, by the injected faults
+	is.True(broken > 0)                    // injected faults must break some requests
 }
 
-func TestEditsAreInForceEverywhereAndNeverRevert(t *testing.T) {
+func TestEditsReachAllProcessesAndDoNotRevert(t *testing.T) {
 	is := is.New(t)
 	mesh := startTestMesh(t, MeshConfig{Graph: chainOf(3, 1), Backends: 4, Gateways: 2, Policy: []policy.Change{{Path: "/", Key: "class", Value: "bulk"}}})
-	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	watched := watchRevisions(mesh)
-	defer watched.stop(t)
+	watch := watchRevisions(mesh)
+	defer watch.stop(t)
 	var group sync.WaitGroup
 	const operators, edits = 4, 5
 	for operator := range operators {
@@ -211,9 +211,9 @@
 	cases := []struct {
 		name  string
 		fault consul.Faults
-		edits bool // an edit is accepted under the fault
+		edits bool // whether edits succeed under the fault
 	}{
-		{"answers lost after the write", consul.Faults{LoseAnswers: 2}, true},
+		{"replies lost after the write", consul.Faults{LoseAnswers: 2}, true},
 		{"slow", consul.Faults{Delay: 300 * time.Millisecond}, true},
 		{"rate limited", consul.Faults{RatePerSecond: 10}, true},
 		{"an older revision is shown", consul.Faults{StaleReads: 3}, true},
@@ -223,21 +223,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			mesh := startTestMesh(t, MeshConfig{Graph: chainOf(2, 1), Backends: 3, Gateways: 1, Policy: []policy.Change{{Path: "/", Key: "class", Value: "bulk"}}})
-			ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 			defer cancel()
-			watched := watchRevisions(mesh)
-			defer watched.stop(t)
+			watch := watchRevisions(mesh)
+			defer watch.stop(t)
 			mesh.Platform.SetFaults(c.fault)
 			if !c.edits {
 				is.True(edit(ctx, mesh, policy.Change{Path: "t", Key: "class", Value: "critical"}) != nil)
-				// A process that starts now gets the policy from its peers.
+				// A process that starts while the store is down gets the policy from its peers.
 				_, err := mesh.AddGateway()
 				is.NoErr(err)
-				is.NoErr(waitFor(ctx, "the new gateway", func() bool { return mesh.Gateways[1].Ready() }))
+				is.NoErr(waitFor(ctx, "the new gateway to be ready", func() bool { return mesh.Gateways[1].Ready() }))
 				is.Equal(mesh.Gateways[1].Documents.Revisions().Policy, uint64(1))
 				mesh.Platform.SetFaults(consul.Faults{})
 			}
-			for { // operators try again
+			for { // the operator retries
 				err := edit(ctx, mesh, policy.Change{Path: "t", Key: "class", Value: "critical"})
 				if err == nil {
 					break
@@ -257,7 +257,7 @@
 
 // waitRevision waits until all processes have the policy revision.
 func waitRevision(ctx context.Context, mesh *Mesh, revision uint64) error {
-	return waitFor(ctx, fmt.Sprintf("policy revision %d everywhere", revision), func() bool {
+	return waitFor(ctx, fmt.Sprintf("policy revision %d at all processes", revision), func() bool {
 		for _, process := range mesh.Processes() {
 			if process.Documents.Revisions().Policy < revision {
 				return false
@@ -267,7 +267,7 @@
 	})
 }
 
-// revisionWatch looks all the time whether a revision goes back.
+// revisionWatch polls the policy revisions of all processes and fails if one decreases.
 type revisionWatch struct {
 	done   chan struct{}
 	failed chan string
@@ -282,7 +282,7 @@
 			for _, process := range mesh.Processes() {
 				revision := process.Documents.Revisions().Policy
 				if revision < highest[process.ID] {
-					w.failed <- fmt.Sprintf("%s went from revision %d back to %d", process.ID, highest[process.ID], revision)
+					w.failed <- fmt.Sprintf("policy revision of %s went back from %d to %d", process.ID, highest[process.ID], revision)
 					return
 				}
 				highest[process.ID] = revision
@@ -304,9 +304,9 @@
 	}
 }
 
-// TestTheLessImportantIsRefusedFirst floods one small back end with bulk
-// requests while a few critical ones arrive.
-func TestTheLessImportantIsRefusedFirst(t *testing.T) {
+// TestLowerClassesAreRefusedFirst guards against refused critical requests while bulk
+// requests overload the back end.
+func TestLowerClassesAreRefusedFirst(t *testing.T) {
 	is := is.New(t)
 	graph := backend.Graph{"s0": {Slots: 4, Queue: 1000, Routes: []backend.Route{{Match: "* /**", Work: 5 * time.Millisecond}}}}
 	mesh := startTestMesh(t, MeshConfig{Graph: graph, Backends: 1, Gateways: 1, Policy: []policy.Change{
@@ -314,7 +314,7 @@
 		{Path: "t/f/s0 * /pay", Key: "class", Value: "critical"},
 		{Path: "/", Key: "concurrency_max", Value: "8"},
 	}})
-	ctx, cancel := context.WithTimeout(t.Context(), testPatience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	flood, stop := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -322,7 +322,7 @@
 	for range 64 {
 		group.Go(func() {
 			for flood.Err() == nil {
-				response, _, err := ask(flood, mesh, "s0", "GET", "/bulk", nil, nil)
+				response, _, err := sendRequest(flood, mesh, "s0", "GET", "/bulk", nil, nil)
 				if err == nil && response.StatusCode == http.StatusServiceUnavailable {
 					refused <- struct{}{}
 				}
@@ -331,7 +331,7 @@
 	}
 	is.NoErr(waitFor(ctx, "bulk requests to be refused", func() bool { return len(refused) > 100 }))
 	for range 50 {
-		response, _, err := ask(ctx, mesh, "s0", "GET", "/pay", nil, nil)
+		response, _, err := sendRequest(ctx, mesh, "s0", "GET", "/pay", nil, nil)
 		is.NoErr(err)
 		is.Equal(response.StatusCode, http.StatusOK)
 	}
@@ -339,7 +339,7 @@
 	group.Wait()
 }
 
-func TestStopUnderLoadCutsOffNothing(t *testing.T) {
+func TestGracefulStopFailsNoRequest(t *testing.T) {
 	is := is.New(t)
 	mesh := startTestMesh(t, MeshConfig{
 		Graph: chainOf(2, 1), Backends: 3, Gateways: 1, Zones: []string{"z1", "z2", "z3"},
@@ -352,7 +352,7 @@
 	for range 8 {
 		group.Go(func() {
 			for load.Err() == nil {
-				response, body, err := ask(context.Background(), mesh, "s0", "POST", "/x", map[string]string{backend.HeaderDelay: "5ms"}, strings.NewReader("b"))
+				response, body, err := sendRequest(context.Background(), mesh, "s0", "POST", "/x", map[string]string{backend.HeaderDelay: "5ms"}, strings.NewReader("b"))
 				if err != nil || response.StatusCode != http.StatusOK {
 					mutex.Lock()
 					failures = append(failures, fmt.Sprint(err, body))
@@ -364,7 +364,7 @@
 	for _, node := range append([]*Node{}, mesh.Nodes[:2]...) {
 		replacement, err := mesh.AddNode(node.Service)
 		is.NoErr(err)
-		is.NoErr(waitFor(t.Context(), "the replacement", replacement.Process.Ready))
+		is.NoErr(waitFor(t.Context(), "the replacement to be ready", replacement.Process.Ready))
 		node.Stop()
 	}
 	stop()
@@ -372,14 +372,14 @@
 	is.Equal(failures, []string{})
 }
 
-// TestAnAnswerMayTakeLongerThanAnAttempt: the bound on an attempt ends when the
-// answer begins.
-func TestAnAnswerMayTakeLongerThanAnAttempt(t *testing.T) {
+// TestResponseMayOutlastAttemptTimeout guards against cutting off slow responses: the
+// attempt timeout applies only until the response begins.
+func TestResponseMayOutlastAttemptTimeout(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			is := is.New(t)
 			mesh := startTestMesh(t, MeshConfig{Graph: chainOf(1, 1), Backends: 2, Gateways: 1})
-			response, body, err := ask(t.Context(), mesh, "s0", method, "/x", map[string]string{backend.HeaderBytes: "1000", backend.HeaderPause: "2500ms"}, nil)
+			response, body, err := sendRequest(t.Context(), mesh, "s0", method, "/x", map[string]string{backend.HeaderBytes: "1000", backend.HeaderPause: "2500ms"}, nil)
 			is.NoErr(err)
 			is.Equal(response.StatusCode, http.StatusOK)
 			is.Equal(len(body), 1000)
--- a/internal/lab/network_test.go
+++ b/internal/lab/network_test.go
@@ -10,81 +10,82 @@
 	"github.com/loomcleat/loomcleat/kernel"
 )
 
-// cuts separates processes of a mesh: connections between the two sides are
-// refused, and those that are open break at their next use.
-type cuts struct {
-	mutex sync.Mutex
-	names map[string]string // address to settings id, of the processes at the time of the cut
-	away  map[string]bool   // settings ids on the far side
+// partition simulates a network partition between processes of a mesh: new connections
+// between the two sides are refused, and open ones break at their next read or write.
+type partition struct {
+	mutex    sync.Mutex
+	ids      map[string]string // settings id by address, of the processes at the time of isolate
+	isolated map[string]bool   // settings ids of the isolated processes
 }
 
-var errCut = errors.New("cut off")
+var errPartitioned = errors.New("connection blocked by the simulated partition")
 
-// cut separates the given processes of a mesh from all others.
-func (c *cuts) cut(mesh *Mesh, processes ...*kernel.Process) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.names, c.away = map[string]string{}, map[string]bool{}
+// isolate separates the given processes of a mesh from all others. It replaces an earlier
+// partition.
+func (p *partition) isolate(mesh *Mesh, processes ...*kernel.Process) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.ids, p.isolated = map[string]string{}, map[string]bool{}
 	for _, process := range mesh.Processes() {
-		c.names[process.ControlAddress()] = process.Settings.ID
-		c.names[process.TrafficAddress()] = process.Settings.ID
+		p.ids[process.ControlAddress()] = process.Settings.ID
+		p.ids[process.TrafficAddress()] = process.Settings.ID
 	}
 	for _, process := range processes {
-		c.away[process.Settings.ID] = true
+		p.isolated[process.Settings.ID] = true
 	}
 }
 
-// heal ends a cut.
-func (c *cuts) heal() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.away = nil
+// heal removes the partition.
+func (p *partition) heal() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.isolated = nil
 }
 
-// separated reports whether a cut lies between a process and an address.
-func (c *cuts) separated(from, address string) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.away[from] != c.away[c.names[address]]
+// separated reports whether the process with the settings id from cannot reach the address.
+func (p *partition) separated(from, address string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.isolated[from] != p.isolated[p.ids[address]]
 }
 
-// dialFrom returns the function through which a process reaches others.
-func (c *cuts) dialFrom(id string) kernel.DialFunc {
+// dialFunc returns the dial function of the process with the given settings id.
+func (p *partition) dialFunc(id string) kernel.DialFunc {
 	dialer := net.Dialer{Timeout: time.Second}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if c.separated(id, address) {
-			return nil, errCut
+		if p.separated(id, address) {
+			return nil, errPartitioned
 		}
 		conn, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &cutConn{Conn: conn, cuts: c, from: id, to: address}, nil
+		return &partitionedConn{Conn: conn, partition: p, from: id, to: address}, nil
 	}
 }
 
-// cutConn is a connection that breaks when its ends are separated.
-type cutConn struct {
+// partitionedConn is a connection that breaks when its ends become separated.
+type partitionedConn struct {
 	net.Conn
-	cuts     *cuts
-	from, to string
+	partition *partition
+	from, to  string
 }
 
 // Read implements net.Conn.
-func (c *cutConn) Read(data []byte) (int, error) {
-	n, err := c.Conn.Read(data)
-	if c.cuts.separated(c.from, c.to) {
-		_ = c.Conn.Close()
-		return 0, errCut
+func (p *partitionedConn) Read(data []byte) (int, error) {
+	n, err := p.Conn.Read(data)
+	if p.partition.separated(p.from, p.to) {
+		_ = p.Conn.Close()
+		return 0, errPartitioned
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *cutConn) Write(data []byte) (int, error) {
-	if c.cuts.separated(c.from, c.to) {
-		_ = c.Conn.Close()
-		return 0, errCut
+func (p *partitionedConn) Write(data []byte) (int, error) {
+	if p.partition.separated(p.from, p.to) {
+		_ = p.Conn.Close()
+		return 0, errPartitioned
 	}
-	return c.Conn.Write(data)
+	return p.Conn.Write(data)
 }
