--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -29,7 +29,7 @@
 }
 
 // Summary holds the results of a load run. Latencies are those of completed requests.
-// RunLoad leaves Retries to its caller.
+// RunLoad does not set Retries.
 type Summary struct {
 	Requests  int     `json:"requests"`
 	Completed int     `json:"completed"`
