--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs holds the pages. Its tests compare them with the code.
+// Package docs holds the documentation. Its tests check the pages against the code.
 package docs
 
 import (
@@ -15,9 +15,9 @@
 	"github.com/loomcleat/loomcleat/kernel"
 )
 
-// TestTheArchitectureListsTheChains: its tables name the plug-ins in the order of
-// kernel/chain.go, and so does its drawing.
-func TestTheArchitectureListsTheChains(t *testing.T) {
+// TestArchitectureListsChains checks that the tables and the diagram of ARCHITECTURE.md list
+// the plug-ins in the order of kernel/chain.go.
+func TestArchitectureListsChains(t *testing.T) {
 	is := is.New(t)
 	content, err := os.ReadFile("ARCHITECTURE.md")
 	is.NoErr(err)
@@ -27,36 +27,37 @@
 	outbound, afterInbound, found := strings.Cut(afterOutbound, "| inbound: ")
 	is.True(found)
 	inbound, _, _ := strings.Cut(afterInbound, "\n\n")
-	is.Equal(rowsOf(outbound), kernel.OutboundChain)
-	is.Equal(rowsOf(inbound), kernel.InboundChain)
+	is.Equal(pluginsInTable(outbound), kernel.OutboundChain)
+	is.Equal(pluginsInTable(inbound), kernel.InboundChain)
 	is.True(strings.Contains(page, "outbound chain: "+strings.Join(kernel.OutboundChain, " ▸ ")))
 	is.True(strings.Contains(page, "inbound chain: "+strings.Join(kernel.InboundChain, " ▸ ")))
 }
 
-var pluginRow = regexp.MustCompile(`(?m)^\| \[([a-z]+)\]`)
+var pluginRowPattern = regexp.MustCompile(`(?m)^\| \[([a-z]+)\]`)
 
-// rowsOf returns the plug-ins that the rows of a table begin with.
-func rowsOf(table string) []string {
+// pluginsInTable returns the plug-in linked at the start of each row.
+func pluginsInTable(table string) []string {
 	names := []string{}
-	for _, row := range pluginRow.FindAllStringSubmatch(table, -1) {
+	for _, row := range pluginRowPattern.FindAllStringSubmatch(table, -1) {
 		names = append(names, row[1])
 	}
 	return names
 }
 
-var link = regexp.MustCompile(`\]\(([^)#: ]+)(#[^)]*)?\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)#: ]+)(#[^)]*)?\)`)
 
-// ignored are folders whose pages are not ours, or not pages.
-var ignored = []string{".git", "journal", "target", "bin", "testdata"}
+// ignoredFolders are not searched for pages.
+var ignoredFolders = []string{".git", "journal", "target", "bin", "testdata"}
 
-// TestLinksLeadSomewhere checks the relative links of all pages.
-func TestLinksLeadSomewhere(t *testing.T) {
+// TestRelativeLinksResolve checks that the relative links of all pages point to existing
+// files.
+func TestRelativeLinksResolve(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		if entry.IsDir() && slices.Contains(ignored, entry.Name()) {
+		if entry.IsDir() && slices.Contains(ignoredFolders, entry.Name()) {
 			return filepath.SkipDir
 		}
 		if filepath.Ext(path) == ".md" {
@@ -72,17 +73,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, found := range link.FindAllStringSubmatch(string(content), -1) {
+	for _, found := range linkPattern.FindAllStringSubmatch(string(content), -1) {
 		if _, err := os.Stat(filepath.Join(filepath.Dir(page), found[1])); err != nil {
-			t.Errorf("%s: the link to %s leads nowhere", page, found[1])
+			t.Errorf("%s: the link to %s points to no file", page, found[1])
 		}
 	}
 }
 
-var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
+var testNamePattern = regexp.MustCompile(`\bTest[A-Z]\w+`)
 
-// TestNamedTestsExist: each test that a page names is there. Pages about the past keep the
-// names of their time.
+// TestNamedTestsExist checks that every test named by a page exists. FINDINGS.md and the
+// folder history are exempt, since they keep names as they were.
 func TestNamedTestsExist(t *testing.T) {
 	is := is.New(t)
 	code := &strings.Builder{}
@@ -105,26 +106,26 @@
 	for _, page := range pages {
 		content, err := os.ReadFile(page)
 		is.NoErr(err)
-		for _, name := range testName.FindAllString(string(content), -1) {
+		for _, name := range testNamePattern.FindAllString(string(content), -1) {
 			if !strings.Contains(code.String(), "func "+name+"(") {
-				t.Errorf("%s names %s, which is nowhere", page, name)
+				t.Errorf("%s names %s, which no test file defines", page, name)
 			}
 		}
 	}
 }
 
-var codeName = regexp.MustCompile("`([a-z]+)((?:\\.[A-Z]\\w*)+)`")
+var codeNamePattern = regexp.MustCompile("`([a-z]+)((?:\\.[A-Z]\\w*)+)`")
 
-// TestTheGlossaryAgreesWithTheCode: each name in it, such as `policy.Route.Public`, stands
-// in the package that it names.
-func TestTheGlossaryAgreesWithTheCode(t *testing.T) {
+// TestGlossaryNamesExist checks that every identifier in GLOSSARY.md, such as
+// `policy.Route.Public`, occurs in the source of its package.
+func TestGlossaryNamesExist(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("GLOSSARY.md")
 	is.NoErr(err)
-	names := codeName.FindAllStringSubmatch(string(page), -1)
+	names := codeNamePattern.FindAllStringSubmatch(string(page), -1)
 	is.True(len(names) > 0)
 	for _, name := range names {
-		code := codeOf(t, name[1])
+		code := packageSource(t, name[1])
 		for _, identifier := range strings.Split(strings.TrimPrefix(name[2], "."), ".") {
 			if !regexp.MustCompile(`\b` + identifier + `\b`).MatchString(code) {
 				t.Errorf("GLOSSARY.md names %s%s, but package %s has no %s", name[1], name[2], name[1], identifier)
@@ -133,8 +134,8 @@
 	}
 }
 
-// codeOf returns the code of a package of the product.
-func codeOf(t *testing.T, name string) string {
+// packageSource returns the source of a package without its tests.
+func packageSource(t *testing.T, name string) string {
 	t.Helper()
 	folder := filepath.Join("..", name)
 	if _, err := os.Stat(folder); err != nil {
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -1,5 +1,8 @@
-// Package e2e proves promises on real processes: the binaries are built,
-// started on loopback, killed, frozen and cut.
+// Package e2e holds the end-to-end tests. They build the loomcleat binary, run nodes and
+// gateways as processes on loopback, stop, kill and suspend them, and make their store fail.
+//
+// Back ends, stores and the machine list are stubs that run in the test process. The tests
+// observe the processes by their answers, control and admin addresses, and logs.
 package e2e
 
 import (
@@ -19,7 +22,7 @@
 	"testing"
 	"time"
 
-	_ "github.com/loomcleat/loomcleat/internal/cli" // so that go test does not take an earlier result from its cache
+	_ "github.com/loomcleat/loomcleat/internal/cli" // makes cached test results depend on the code of the binary
 	"github.com/loomcleat/loomcleat/internal/freeport"
 	"github.com/loomcleat/loomcleat/internal/standin/backend"
 	"github.com/loomcleat/loomcleat/internal/standin/consul"
@@ -27,7 +30,7 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// binaries is the folder of the built programs.
+// binaries is the directory of the built binary.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -46,11 +49,11 @@
 	os.Exit(status)
 }
 
-// patience bounds every wait of these tests. It is far above what is expected,
-// because nothing here asserts speed.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait in these tests. It is generous because the tests do not
+// check latency.
+const waitTimeout = 20 * time.Second
 
-// program is one started process.
+// program is a process started by a test.
 type program struct {
 	t      *testing.T
 	name   string
@@ -60,7 +63,7 @@
 	err    error
 }
 
-// syncBuffer is a buffer for the output of a process.
+// syncBuffer is a bytes.Buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -78,6 +81,8 @@
 	return b.buffer.String()
 }
 
+// start runs a binary, given by its absolute path or its name in the directory of built
+// binaries. The process is killed at the end of the test.
 func start(t *testing.T, name, binary string, arguments ...string) *program {
 	t.Helper()
 	p := &program{t: t, name: name, log: &syncBuffer{}, exited: make(chan struct{})}
@@ -123,18 +128,18 @@
 	<-p.exited
 }
 
-// terminate stops the process in order and waits for its end.
+// terminate sends SIGTERM and waits for the process to exit.
 func (p *program) terminate() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
-		p.t.Errorf("%s did not end after SIGTERM", p.name)
+	case <-time.After(waitTimeout):
+		p.t.Errorf("%s did not exit after SIGTERM", p.name)
 	}
 }
 
-// freePort returns a loopback address that is free now.
+// freePort returns a loopback address whose port is currently free.
 func freePort(t *testing.T) string {
 	t.Helper()
 	address, err := freeport.Address()
@@ -144,55 +149,56 @@
 	return address
 }
 
-// member is a node or gateway process with its addresses.
+// member is a node or gateway process with its addresses. A node also has a back end.
 type member struct {
 	*program
-	service, zone                          string
-	listen, control, admin, outbound, back string
-	backend                                *standIn
-	arguments                              []string
+	service, zone                                    string
+	listen, control, admin, outbound, backEndAddress string
+	backend                                          *backEndStub
+	arguments                                        []string
 }
 
-// standIn is a back end. It runs in the test, so that it can be told to misbehave.
-type standIn struct {
+// backEndStub is a back end that runs in the test process, so that tests can inject faults.
+type backEndStub struct {
 	*backend.Backend
 	t *testing.T
 }
 
-func startBackend(t *testing.T, config backend.Config) *standIn {
+func startBackEnd(t *testing.T, config backend.Config) *backEndStub {
 	t.Helper()
 	started, err := backend.Start(config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(started.Close)
-	return &standIn{Backend: started, t: t}
+	return &backEndStub{Backend: started, t: t}
 }
 
-// terminate stops the back end in order: it takes no new requests and ends the others.
-func (s *standIn) terminate() {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// terminate stops the back end gracefully: it accepts no new requests and completes those
+// in flight.
+func (s *backEndStub) terminate() {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := s.Shutdown(ctx); err != nil {
-		s.t.Errorf("the back end at %s did not end: %v", s.Address(), err)
+		s.t.Errorf("the back end at %s did not stop: %v", s.Address(), err)
 	}
 }
 
-// cluster is a mesh of real processes. The stand-in of the platform runs in the test as
-// well.
+// cluster is a set of node and gateway processes. The stub of the platform, which serves
+// the store and the machine list, runs in the test process.
 type cluster struct {
-	t        *testing.T
-	platform *consul.Server
-	url      string
-	graph    backend.Graph
-	nodes    []*member
-	gateways []*member
-	extra    []string // settings flags for all
-	count    int
-	file     string // settings file, "" for none
-}
-
-// newCluster starts the platform.
+	t              *testing.T
+	platform       *consul.Server
+	url            string
+	graph          backend.Graph
+	nodes          []*member
+	gateways       []*member
+	extraArguments []string // flags for all members
+	zonesAssigned  int
+	settingsFile   string // path for members started from now on, "" for none
+}
+
+// newCluster starts the stub of the platform. The cluster has no members yet.
 func newCluster(t *testing.T, graph backend.Graph) *cluster {
 	t.Helper()
 	c := &cluster{t: t, platform: consul.NewServer(), graph: graph}
@@ -207,18 +213,19 @@
 	return c
 }
 
-// settings writes a settings file that all members use.
-func (c *cluster) settings(text string) {
-	c.file = filepath.Join(c.t.TempDir(), "settings.yaml")
-	if err := os.WriteFile(c.file, []byte(text), 0o600); err != nil {
+// writeSettings writes the settings file for members that are added afterwards.
+func (c *cluster) writeSettings(text string) {
+	c.settingsFile = filepath.Join(c.t.TempDir(), "settings.yaml")
+	if err := os.WriteFile(c.settingsFile, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// fastSettings keep these tests short: the times between messages are shorter
-// than the defaults, nothing else differs.
+// fastSettings shorten the tests by a short probe interval, a short announce time and few
+// claim groups.
 const fastSettings = "probe_interval: 200ms\nannounce_time: 500ms\nclaim_groups: 4\n"
 
+// seeds returns the control addresses of the current members, separated by commas.
 func (c *cluster) seeds() string {
 	list := []string{}
 	for _, m := range append(append([]*member{}, c.nodes...), c.gateways...) {
@@ -227,23 +234,24 @@
 	return strings.Join(list, ",")
 }
 
-func (c *cluster) common(m *member) []string {
+// commonArguments returns the arguments that nodes and gateways share.
+func (c *cluster) commonArguments(m *member) []string {
 	arguments := []string{"--listen", m.listen, "--control", m.control, "--admin", m.admin,
 		"--zone", m.zone, "--store", c.url, "--machine-list", c.url, "--id", m.name()}
-	if c.file != "" {
-		arguments = append(arguments, "--config", c.file)
+	if c.settingsFile != "" {
+		arguments = append(arguments, "--config", c.settingsFile)
 	}
 	if seeds := c.seeds(); seeds != "" {
 		arguments = append(arguments, "--seeds", seeds)
 	}
-	return append(arguments, c.extra...)
+	return append(arguments, c.extraArguments...)
 }
 
 func (m *member) name() string {
 	return "m" + strings.ReplaceAll(strings.ReplaceAll(m.control, ".", "-"), ":", "-")
 }
 
-// register enters a member in the machine list, as the platform would.
+// register adds a member to the machine list, as the platform does.
 func (c *cluster) register(m *member) { c.platform.Register(catalogRow(m)) }
 
 func catalogRow(m *member) consulkv.CatalogRow {
@@ -254,40 +262,41 @@
 		ServiceMeta: map[string]string{consulkv.MetaZone: m.zone}}
 }
 
+// zone returns the zone of the next member. Members are spread over three zones.
 func (c *cluster) zone() string {
-	c.count++
-	return fmt.Sprintf("z%d", c.count%3+1)
+	c.zonesAssigned++
+	return fmt.Sprintf("z%d", c.zonesAssigned%3+1)
 }
 
-// addNode starts a back end and its node.
+// addNode starts a back end and its node and adds the node to the cluster.
 func (c *cluster) addNode(service string) *member {
 	c.t.Helper()
-	m := &member{service: service, zone: c.zone(), listen: freePort(c.t), control: freePort(c.t), admin: freePort(c.t), outbound: freePort(c.t), back: freePort(c.t)}
-	m.backend = startBackend(c.t, backend.Config{Service: c.graph[service], Address: m.back, Outbound: m.outbound, KeepRecord: true})
-	m.arguments = append([]string{"node", "--service", service, "--backend", m.back, "--outbound", m.outbound}, c.common(m)...)
+	m := &member{service: service, zone: c.zone(), listen: freePort(c.t), control: freePort(c.t), admin: freePort(c.t), outbound: freePort(c.t), backEndAddress: freePort(c.t)}
+	m.backend = startBackEnd(c.t, backend.Config{Service: c.graph[service], Address: m.backEndAddress, Outbound: m.outbound, KeepRecord: true})
+	m.arguments = append([]string{"node", "--service", service, "--backend", m.backEndAddress, "--outbound", m.outbound}, c.commonArguments(m)...)
 	c.launch(m)
 	c.nodes = append(c.nodes, m)
 	return m
 }
 
-// addGateway starts a gateway.
+// addGateway starts a gateway and adds it to the cluster.
 func (c *cluster) addGateway() *member {
 	c.t.Helper()
 	m := &member{zone: c.zone(), listen: freePort(c.t), control: freePort(c.t), admin: freePort(c.t)}
-	m.arguments = append([]string{"gateway"}, c.common(m)...)
+	m.arguments = append([]string{"gateway"}, c.commonArguments(m)...)
 	c.launch(m)
 	c.gateways = append(c.gateways, m)
 	return m
 }
 
-// launch starts the process of a member, also a second time.
+// launch starts or restarts the process of a member and registers it.
 func (c *cluster) launch(m *member) {
 	c.t.Helper()
 	m.program = start(c.t, m.arguments[0]+" "+m.service+" "+m.control, "loomcleat", m.arguments...)
 	c.register(m)
 }
 
-// remove takes a member out of the list of those that must be ready.
+// remove removes a member from the cluster, so that waitReady does not wait for it.
 func (c *cluster) remove(gone *member) {
 	keep := func(list []*member) []*member {
 		kept := []*member{}
@@ -301,13 +310,13 @@
 	c.nodes, c.gateways = keep(c.nodes), keep(c.gateways)
 }
 
-// eventually waits until a condition holds.
+// eventually polls a condition until it holds, and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -315,7 +324,7 @@
 
 var httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 
-// status asks a member for its status.
+// status requests the status of a member over its control address.
 func (m *member) status() (wire.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -332,9 +341,9 @@
 	return status, json.NewDecoder(response.Body).Decode(&status)
 }
 
-// ready waits until all members take requests, know each other and the claim
-// groups vote.
-func (c *cluster) ready() {
+// waitReady waits until every member is ready, sees all members alive and has the document
+// of the claim groups. If the test fails, the state of the members is logged.
+func (c *cluster) waitReady() {
 	c.t.Helper()
 	all := append(append([]*member{}, c.nodes...), c.gateways...)
 	c.t.Cleanup(func() {
@@ -370,7 +379,7 @@
 	})
 }
 
-// call is one request of a caller.
+// call is a request that a caller sends to a gateway.
 type call struct {
 	gateway *member
 	service string
@@ -381,23 +390,24 @@
 	timeout time.Duration
 }
 
-// answered is an answer that was read whole.
-type answered struct {
+// answer is a completely read answer.
+type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (c call) do() (answered, error) {
+// do sends the request and reads the complete answer. The default timeout is waitTimeout.
+func (c call) do() (answer, error) {
 	timeout := c.timeout
 	if timeout == 0 {
-		timeout = patience
+		timeout = waitTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, c.method, "http://"+c.gateway.listen+c.path, c.body)
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	request.Host = c.service
 	for name, value := range c.header {
@@ -405,14 +415,14 @@
 	}
 	response, err := httpClient.Do(request)
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, header: response.Header, body: string(body)}, err
+	return answer{status: response.StatusCode, header: response.Header, body: string(body)}, err
 }
 
-// countRuns counts the runs of all back ends with the given tag.
+// countRuns returns the number of executions with the tag at all back ends.
 func (c *cluster) countRuns(tag string) int {
 	c.t.Helper()
 	count := 0
@@ -426,8 +436,8 @@
 	return count
 }
 
-// command runs the loomcleat command line and returns its output and status.
-func command(t *testing.T, arguments ...string) (string, int) {
+// runCommand runs loomcleat with arguments and returns its output and exit status.
+func runCommand(t *testing.T, arguments ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(filepath.Join(binaries, "loomcleat"), arguments...)
 	output, err := cmd.CombinedOutput()
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -18,62 +18,64 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// Paths of requests which end every back end that runs them.
+// Paths of requests that crash every back end that executes them.
 const (
 	crashingPath     = "/front/crash"
-	lateCrashingPath = "/front/crash-late" // in the middle of the answer
+	lateCrashingPath = "/front/crash-late" // crashes in the middle of the answer
 )
 
-// Times of the back ends of these tests.
+// Delays of the crashing back ends.
 const (
-	crashAfter   = 30 * time.Millisecond  // from the arrival of the request to the end
-	restartAfter = 300 * time.Millisecond // from the end to the next incarnation
-	usualWork    = 20 * time.Millisecond
-	// knownAfter is the time from the third end to when every node must know of it.
-	knownAfter = 3 * time.Second
+	crashDelay     = 30 * time.Millisecond  // from the arrival of the request to the crash
+	restartDelay   = 300 * time.Millisecond // from the crash to the next incarnation
+	processingTime = 20 * time.Millisecond
+	// propagationTime is the time within which every node must refuse the request after
+	// the third crash.
+	propagationTime = 3 * time.Second
 )
 
-// crashingBackend is a back end that ends when it runs the crashing request, with all
-// that it works on, and comes back as another incarnation.
-type crashingBackend struct {
+// crashingBackEnd is a back end that crashes when it executes the crashing request. All
+// requests in flight are lost, and it restarts as a new incarnation.
+type crashingBackEnd struct {
 	t       *testing.T
 	node    *platformNode
 	address string
 	starts  int
 	stub    *metastore.Server
 
-	mutex   sync.Mutex
-	server  *httptest.Server
-	crashes []time.Time
-	reached []time.Time // when the crashing request arrived
+	mutex    sync.Mutex
+	server   *httptest.Server
+	crashes  []time.Time
+	arrivals []time.Time // of the crashing request
 }
 
-// startCrashingBackends starts nodes of the service "front", each beside a back end.
-func startCrashingBackends(t *testing.T, count int) []*crashingBackend {
+// startCrashingBackEnds starts nodes of the service "front", each with its back end,
+// and waits until they serve requests.
+func startCrashingBackEnds(t *testing.T, count int) []*crashingBackEnd {
 	t.Helper()
 	is := is.New(t)
 	stub := metastore.NewServer()
 	store := httptest.NewServer(stub.Handler())
 	t.Cleanup(store.Close)
 	stub.Put("op/config", platformConfiguration(3, "front"))
-	backends := []*crashingBackend{}
+	backEnds := []*crashingBackEnd{}
 	for range count {
-		b := &crashingBackend{t: t, address: freePort(t), node: newPlatformNode(t, "front"), stub: stub}
-		b.begin()
-		b.node.startBeside(t, store.URL, b.address)
+		b := &crashingBackEnd{t: t, address: freePort(t), node: newPlatformNode(t, "front"), stub: stub}
+		b.startServer()
+		b.node.startWithBackEnd(t, store.URL, b.address)
 		t.Cleanup(b.close)
-		backends = append(backends, b)
+		backEnds = append(backEnds, b)
 	}
-	for _, b := range backends {
-		eventually(t, "readiness", func() bool { return b.node.ready() == http.StatusOK })
-		is.Equal(b.node.beat("ready"), http.StatusOK)
-		b.node.served(t, "/front/x", "")
+	for _, b := range backEnds {
+		eventually(t, "readiness", func() bool { return b.node.probeReadiness() == http.StatusOK })
+		is.Equal(b.node.sendHeartbeat("ready"), http.StatusOK)
+		b.node.getUntilServed(t, "/front/x", "")
 	}
-	return backends
+	return backEnds
 }
 
-// begin starts an incarnation.
-func (b *crashingBackend) begin() {
+// startServer starts a new incarnation.
+func (b *crashingBackEnd) startServer() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.starts++
@@ -89,7 +91,7 @@
 	b.server.Start()
 }
 
-func (b *crashingBackend) serve(w http.ResponseWriter, r *http.Request) {
+func (b *crashingBackEnd) serve(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case crashingPath:
 	case lateCrashingPath:
@@ -97,37 +99,37 @@
 		w.Header().Set("Content-Length", "64000")
 		_, _ = w.Write(make([]byte, 32000))
 	default:
-		time.Sleep(usualWork)
-		b.node.serveBackend(w, r)
+		time.Sleep(processingTime)
+		b.node.serveBackEnd(w, r)
 		return
 	}
 	b.mutex.Lock()
-	b.reached = append(b.reached, time.Now())
+	b.arrivals = append(b.arrivals, time.Now())
 	server := b.server
 	b.mutex.Unlock()
-	time.Sleep(crashAfter)
+	time.Sleep(crashDelay)
 	b.crash(server)
 	<-r.Context().Done()
 }
 
-// crash ends an incarnation at once and begins the next one a while later.
-func (b *crashingBackend) crash(server *httptest.Server) {
+// crash stops an incarnation abruptly and starts the next one after restartDelay.
+func (b *crashingBackEnd) crash(server *httptest.Server) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.server != server {
-		return // another request has ended it
+		return // already crashed by another request
 	}
 	b.server = nil
 	b.crashes = append(b.crashes, time.Now())
 	_ = server.Listener.Close()
 	server.CloseClientConnections()
-	time.AfterFunc(restartAfter, func() {
-		b.begin()
-		b.node.beat("ready")
+	time.AfterFunc(restartDelay, func() {
+		b.startServer()
+		b.node.sendHeartbeat("ready")
 	})
 }
 
-func (b *crashingBackend) close() {
+func (b *crashingBackEnd) close() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.server != nil {
@@ -135,27 +137,27 @@
 	}
 }
 
-// crashesOf returns the number of ends of all back ends, and when the third one was.
-func crashesOf(backends []*crashingBackend) (count int, third time.Time) {
-	ends := []time.Time{}
-	for _, b := range backends {
+// countCrashes returns the number of crashes of all back ends and the time of the third.
+func countCrashes(backEnds []*crashingBackEnd) (count int, third time.Time) {
+	crashTimes := []time.Time{}
+	for _, b := range backEnds {
 		b.mutex.Lock()
-		ends = append(ends, b.crashes...)
+		crashTimes = append(crashTimes, b.crashes...)
 		b.mutex.Unlock()
 	}
-	slices.SortFunc(ends, time.Time.Compare)
-	if len(ends) < 3 {
-		return len(ends), time.Time{}
+	slices.SortFunc(crashTimes, time.Time.Compare)
+	if len(crashTimes) < 3 {
+		return len(crashTimes), time.Time{}
 	}
-	return len(ends), ends[2]
+	return len(crashTimes), crashTimes[2]
 }
 
-// reachedAfter counts the arrivals of the crashing request after a time.
-func reachedAfter(backends []*crashingBackend, moment time.Time) int {
+// countArrivalsAfter returns how often the crashing request reached a back end after a time.
+func countArrivalsAfter(backEnds []*crashingBackEnd, moment time.Time) int {
 	count := 0
-	for _, b := range backends {
+	for _, b := range backEnds {
 		b.mutex.Lock()
-		for _, at := range b.reached {
+		for _, at := range b.arrivals {
 			if at.After(moment) {
 				count++
 			}
@@ -165,12 +167,12 @@
 	return count
 }
 
-// sendAgainAndAgain sends a crashing request to each node in turn for a time, as a
-// caller does that gets no answer, and returns how often it was refused as not run.
-func sendAgainAndAgain(backends []*crashingBackend, path string, duration time.Duration) (refused int) {
+// sendRepeatedly sends a crashing request to the nodes in turn for a duration, like a
+// caller that retries, and returns how often it was refused with status 503.
+func sendRepeatedly(backEnds []*crashingBackEnd, path string, duration time.Duration) (refused int) {
 	end := time.Now().Add(duration)
 	for i := 0; time.Now().Before(end); i++ {
-		if backends[i%len(backends)].node.get(path, "").status == http.StatusServiceUnavailable {
+		if backEnds[i%len(backEnds)].node.get(path, "").status == http.StatusServiceUnavailable {
 			refused++
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -178,13 +180,13 @@
 	return refused
 }
 
-// sendOthers keeps other requests in flight at every node until it is told to stop, which
-// returns how many of them were refused for crashing back ends.
-func sendOthers(backends []*crashingBackend) (stop func() int) {
+// startOtherRequests keeps a harmless request in flight at every node until stop is called,
+// which returns how many of them were refused as quarantined.
+func startOtherRequests(backEnds []*crashingBackEnd) (stop func() int) {
 	quarantined := atomic.Int64{}
 	stopped := make(chan struct{})
 	senders := sync.WaitGroup{}
-	for i, b := range backends {
+	for i, b := range backEnds {
 		senders.Go(func() {
 			for n := 0; ; n++ {
 				select {
@@ -206,95 +208,81 @@
 	}
 }
 
-// TestARequestThatCrashesBackEndsIsStopped
-//
-// Symptom: all back ends of a service end within a fraction of a second, are back after
-// some seconds, and end again, for as long as one caller goes on. The other requests of
-// the service are lost or refused meanwhile; other services go on.
-//
-// Sequence: a request ends the back end that runs it. Its node sees a broken connection.
-// The process where it entered repeats it at the next back end, which ends as well; its
-// caller tries again at another machine, under another id, and so on.
-//
-// Cause: a broken connection was taken for a fault of the back end alone. Nothing was
-// remembered of the request, neither by the process that repeats it nor by the nodes
-// beside the back ends, and each try of the caller began anew.
-//
-// What settled it: the lines backend-crashed (419) of the nodes, in which the same
-// signature stands for every incarnation that ended, while the others change.
-func TestARequestThatCrashesBackEndsIsStopped(t *testing.T) {
+// TestCrashingRequestIsQuarantined guards against a request that crashes one back end after
+// another as the mesh and its caller retry it under new ids.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, path := range []string{crashingPath, lateCrashingPath} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			backends := startCrashingBackends(t, 4)
-			stopBystanders := sendOthers(backends)
-			refused := sendAgainAndAgain(backends, path, 2*knownAfter)
-			is.Equal(stopBystanders(), 0) // none was taken for the one that crashes
-			count, third := crashesOf(backends)
-			is.True(count >= 3)                                        // it does crash them
-			is.Equal(reachedAfter(backends, third.Add(knownAfter)), 0) // and is known everywhere in time
-			is.True(count <= 8)                                        // 3, and what was on its way meanwhile
-			is.True(refused > 0)                                       // as not run
+			backEnds := startCrashingBackEnds(t, 4)
+			stopOthers := startOtherRequests(backEnds)
+			refused := sendRepeatedly(backEnds, path, 2*propagationTime)
+			is.Equal(stopOthers(), 0) // other requests are not quarantined
+			count, third := countCrashes(backEnds)
+			is.True(count >= 3)                                                   // the request crashes back ends
+			is.Equal(countArrivalsAfter(backEnds, third.Add(propagationTime)), 0) // every node refuses it within propagationTime
+			is.True(count <= 8)                                                   // three, and those in flight until the quarantine took effect
+			is.True(refused > 0)                                                  // the caller is refused
 
-			// The other requests of the service are served.
-			for _, b := range backends {
-				b.node.served(t, "/front/x", "")
+			// Other requests of the service are served.
+			for _, b := range backEnds {
+				b.node.getUntilServed(t, "/front/x", "")
 				is.True(!strings.Contains(b.node.log.String(), "request-panic"))
 			}
 		})
 	}
 }
 
-// crashThree sends the crashing request until three back ends have ended, and waits until
-// it is refused everywhere and all back ends are there again.
-func crashThree(t *testing.T, backends []*crashingBackend) {
+// crashThreeBackEnds sends the crashing request until three back ends have crashed. It then
+// waits until all back ends serve again and every node refuses the request.
+func crashThreeBackEnds(t *testing.T, backEnds []*crashingBackEnd) {
 	t.Helper()
-	eventually(t, "three back ends to end", func() bool {
-		backends[0].node.get(crashingPath, "")
-		count, _ := crashesOf(backends)
+	eventually(t, "three back ends to crash", func() bool {
+		backEnds[0].node.get(crashingPath, "")
+		count, _ := countCrashes(backEnds)
 		return count >= 3
 	})
-	for _, b := range backends {
-		b.node.served(t, "/front/x", "")
+	for _, b := range backEnds {
+		b.node.getUntilServed(t, "/front/x", "")
 		eventually(t, "the request to be refused", func() bool {
 			return b.node.get(crashingPath, "").status == http.StatusServiceUnavailable
 		})
 	}
-	time.Sleep(knownAfter) // what is written to the store may take a moment
+	time.Sleep(propagationTime) // lets the nodes write the quarantine to the store
 }
 
-// TestAQuarantineOutlastsRestarts: a node that is started again learns from its peers what
-// crashes back ends, also while the store is silent, and all that are started anew learn
-// it from the store. Each knowing nothing, they would lose three more back ends.
-func TestAQuarantineOutlastsRestarts(t *testing.T) {
+// TestQuarantineSurvivesRestarts checks that a restarted node receives the quarantine from
+// its peers while the store is silent, and that it is read from the store after all nodes
+// restart. Without it, the request would crash three more back ends.
+func TestQuarantineSurvivesRestarts(t *testing.T) {
 	is := is.New(t)
-	backends := startCrashingBackends(t, 3)
-	crashThree(t, backends)
-	before, _ := crashesOf(backends)
-	refusedBy := func(b *crashingBackend) {
-		eventually(t, "readiness", func() bool { return b.node.ready() == http.StatusOK })
-		is.Equal(b.node.beat("ready"), http.StatusOK)
-		b.node.served(t, "/front/x", "")
-		time.Sleep(knownAfter)
+	backEnds := startCrashingBackEnds(t, 3)
+	crashThreeBackEnds(t, backEnds)
+	before, _ := countCrashes(backEnds)
+	requireRefused := func(b *crashingBackEnd) {
+		eventually(t, "readiness", func() bool { return b.node.probeReadiness() == http.StatusOK })
+		is.Equal(b.node.sendHeartbeat("ready"), http.StatusOK)
+		b.node.getUntilServed(t, "/front/x", "")
+		time.Sleep(propagationTime)
 		is.Equal(b.node.get(crashingPath, "").status, http.StatusServiceUnavailable)
 	}
 
-	stub := backends[0].stub
+	stub := backEnds[0].stub
 	stub.SetFaults(metastore.Faults{Silent: true})
-	backends[0].node.kill()
-	backends[0].node.startAgain()
-	refusedBy(backends[0])
+	backEnds[0].node.kill()
+	backEnds[0].node.restart()
+	requireRefused(backEnds[0])
 	stub.SetFaults(metastore.Faults{})
 
-	for _, b := range backends {
+	for _, b := range backEnds {
 		b.node.kill()
 	}
-	for _, b := range backends {
-		b.node.startAgain()
+	for _, b := range backEnds {
+		b.node.restart()
 	}
-	for _, b := range backends {
-		refusedBy(b)
+	for _, b := range backEnds {
+		requireRefused(b)
 	}
-	after, _ := crashesOf(backends)
-	is.Equal(after, before) // no back end was lost by it
+	after, _ := countCrashes(backEnds)
+	is.Equal(after, before) // no further back end crashed
 }
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -16,8 +16,8 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// paymentGraph has one service that may not be repeated, and one whose back end
-// passes on the refusal of a service that has no nodes.
+// paymentGraph has a service whose requests may not be repeated, and one whose back end
+// forwards the refusal of a service without nodes.
 var paymentGraph = backend.Graph{
 	"pay": {},
 	"careless": {Routes: []backend.Route{
@@ -25,29 +25,29 @@
 	}},
 }
 
-// paymentCluster is three nodes of one service in three zones, and two gateways.
+// paymentCluster starts three nodes of one service in three zones and two gateways.
 func paymentCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := newCluster(t, paymentGraph)
-	c.settings(fastSettings)
+	c.writeSettings(fastSettings)
 	for range 3 {
 		c.addNode("pay")
 	}
 	c.addGateway()
 	c.addGateway()
-	c.ready()
+	c.waitReady()
 	return c
 }
 
-// payment is a request that may not be repeated.
+// payment returns a request that may not be repeated. key is also its tag.
 func payment(gateway *member, key, delay string) call {
 	return call{gateway: gateway, service: "pay", method: "POST", path: "/charges", body: strings.NewReader("12 EUR"), header: map[string]string{
 		wire.HeaderIdempotencyKey: key, backend.HeaderTag: key, backend.HeaderDelay: delay,
 	}}
 }
 
-// runner returns the node whose back end is running the request with the tag.
-func (c *cluster) runner(tag string) *member {
+// waitForRun waits until a back end executes the request with the tag, and returns its node.
+func (c *cluster) waitForRun(tag string) *member {
 	c.t.Helper()
 	var found *member
 	eventually(c.t, "the request to run", func() bool {
@@ -64,10 +64,9 @@
 	return found
 }
 
-// repeat asks again for a payment and checks that the answer is either the one
-// of the first run, or says that the outcome is unknown, or that it was refused
-// for now without having run a second time.
-func repeat(t *testing.T, c *cluster, key string) answered {
+// retryPayment sends a payment again and checks that it did not run a second time. The
+// answer must be that of the first run or an AlreadyClaimed refusal with an unknown outcome.
+func retryPayment(t *testing.T, c *cluster, key string) answer {
 	t.Helper()
 	is := is.New(t)
 	got, err := payment(c.gateways[1], key, "").do()
@@ -92,13 +91,13 @@
 		is := is.New(t)
 		_, err := payment(c.gateways[0], "twice", "").do()
 		is.NoErr(err)
-		is.Equal(repeat(t, c, "twice").status, 200)
+		is.Equal(retryPayment(t, c, "twice").status, 200)
 	})
 
 	t.Run("many at once through two gateways", func(t *testing.T) {
 		is := is.New(t)
 		var group sync.WaitGroup
-		answers := make(chan answered, 20)
+		answers := make(chan answer, 20)
 		for i := range 20 {
 			group.Go(func() {
 				got, err := payment(c.gateways[i%2], "at once", "50ms").do()
@@ -111,7 +110,7 @@
 		close(answers)
 		is.Equal(c.countRuns("at once"), 1)
 		for got := range answers {
-			is.Equal(got.status, 200) // all wait for the one run
+			is.Equal(got.status, 200) // all get the answer of the one run
 			is.Equal(got.body, "12 EUR")
 		}
 	})
@@ -122,7 +121,7 @@
 		first.timeout = 200 * time.Millisecond
 		_, err := first.do()
 		is.True(err != nil)
-		is.Equal(repeat(t, c, "gave up").status, 200) // it went on without the caller
+		is.Equal(retryPayment(t, c, "gave up").status, 200) // it completed without the caller
 	})
 
 	t.Run("the same key with another body", func(t *testing.T) {
@@ -147,7 +146,7 @@
 		is.Equal(c.countRuns("twice, other"), 1)
 	})
 
-	t.Run("a key is minted and told", func(t *testing.T) {
+	t.Run("a generated key is returned", func(t *testing.T) {
 		is := is.New(t)
 		request := payment(c.gateways[0], "", "")
 		request.header = map[string]string{backend.HeaderTag: "minted"}
@@ -170,63 +169,67 @@
 		got, err := payment(c.gateways[0], "store down", "").do()
 		is.NoErr(err)
 		is.Equal(got.status, 200)
-		is.Equal(repeat(t, c, "store down").status, 200)
+		is.Equal(retryPayment(t, c, "store down").status, 200)
 	})
 }
 
-func TestAtMostOnceWhenTheRunnerFails(t *testing.T) {
+// TestAtMostOnceWhenNodeFails checks that retries do not run a request a second time after
+// the node that ran it is killed, restarted or suspended.
+func TestAtMostOnceWhenNodeFails(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault func(c *cluster, runner *member)
-		after func(c *cluster, runner *member, t *testing.T)
+		fault func(c *cluster, node *member)
+		after func(c *cluster, node *member, t *testing.T)
 	}{
-		{"killed", func(_ *cluster, runner *member) { runner.kill() }, nil},
-		{"killed and replaced by an empty one", func(c *cluster, runner *member) {
-			runner.kill()
-			c.launch(runner)
+		{"killed", func(_ *cluster, node *member) { node.kill() }, nil},
+		{"killed and replaced by an empty one", func(c *cluster, node *member) {
+			node.kill()
+			c.launch(node)
 		}, nil},
-		{"frozen and woken", func(_ *cluster, runner *member) { runner.signal(syscall.SIGSTOP) },
-			func(c *cluster, runner *member, t *testing.T) {
-				runner.signal(syscall.SIGCONT)
-				c.ready()
-				repeat(t, c, "fault")
+		{"frozen and woken", func(_ *cluster, node *member) { node.signal(syscall.SIGSTOP) },
+			func(c *cluster, node *member, t *testing.T) {
+				node.signal(syscall.SIGCONT)
+				c.waitReady()
+				retryPayment(t, c, "fault")
 			}},
 	}
 	for _, fault := range cases {
 		t.Run(fault.name, func(t *testing.T) {
 			c := paymentCluster(t)
-			done := make(chan answered, 1)
+			done := make(chan answer, 1)
 			go func() {
 				got, _ := payment(c.gateways[0], "fault", "1500ms").do()
 				done <- got
 			}()
-			runner := c.runner("fault")
-			fault.fault(c, runner)
+			node := c.waitForRun("fault")
+			fault.fault(c, node)
 			for range 5 {
-				repeat(t, c, "fault")
+				retryPayment(t, c, "fault")
 			}
 			if fault.after != nil {
-				fault.after(c, runner, t)
+				fault.after(c, node, t)
 			}
 			first := <-done
 			is := is.New(t)
-			is.True(first.header.Get(result.HeaderOutcome) != result.OutcomeNotRun) // it did run
+			is.True(first.header.Get(result.HeaderOutcome) != result.OutcomeNotRun) // it ran
 			is.Equal(c.countRuns("fault"), 1)
 		})
 	}
 }
 
-func TestARefusalPassedOnByABackEndIsNotNotRun(t *testing.T) {
+// TestForwardedRefusalIsNotReportedAsNotRun guards against reporting a request as not run
+// because its back end forwarded the refusal of a call that was not run.
+func TestForwardedRefusalIsNotReportedAsNotRun(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, paymentGraph)
-	c.settings(fastSettings)
+	c.writeSettings(fastSettings)
 	c.addNode("careless")
 	c.addNode("careless")
 	gateway := c.addGateway()
-	c.ready()
+	c.waitReady()
 	got, err := call{gateway: gateway, service: "careless", method: "POST", path: "/x", header: map[string]string{backend.HeaderTag: "ran"}}.do()
 	is.NoErr(err)
 	is.True(got.status >= 400)
-	is.Equal(got.header.Get(result.HeaderOutcome), "") // the back end's claim was removed
+	is.Equal(got.header.Get(result.HeaderOutcome), "") // the outcome set by the back end is removed
 	is.Equal(c.countRuns("ran"), 1)
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -17,8 +17,8 @@
 	"github.com/loomcleat/loomcleat/wire"
 )
 
-// chainGraph is a chain of four services, the second of which calls the third
-// twice at once.
+// chainGraph is a chain of four services. The second one makes two concurrent calls to the
+// third.
 var chainGraph = backend.Graph{
 	"one":   {Routes: []backend.Route{{Match: "* /chain", Stages: [][]backend.Call{{chainCall("two", "POST")}}}}},
 	"two":   {Routes: []backend.Route{{Match: "* /chain", Stages: [][]backend.Call{{chainCall("three", "POST"), chainCall("three", "GET")}}}}},
@@ -30,15 +30,17 @@
 	return backend.Call{Service: service, Method: method, Path: "/chain"}
 }
 
-func TestRequestsThroughFourHopsOfRealProcesses(t *testing.T) {
+// TestRequestsThroughFourHops checks forwarding, probes and the command line on a gateway and
+// four nodes.
+func TestRequestsThroughFourHops(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, chainGraph)
-	c.settings(fastSettings)
+	c.writeSettings(fastSettings)
 	for _, service := range []string{"one", "two", "three", "four"} {
 		c.addNode(service)
 	}
 	gateway := c.addGateway()
-	c.ready()
+	c.waitReady()
 
 	t.Run("a chain with a parallel fan-out", func(t *testing.T) {
 		is := is.New(t)
@@ -59,7 +61,7 @@
 		is.Equal(counts, []int{1, 1, 2, 2})
 	})
 
-	t.Run("targets are passed exactly", func(t *testing.T) {
+	t.Run("request targets are forwarded unchanged", func(t *testing.T) {
 		for _, path := range []string{"/", "//", "/a//b", "/a%2Fb", "/a/", "/a/../b", "/a?x=1&x=2&y=%20+", "/%E2%82%AC", "/a;b=c", "/a?"} {
 			is := is.New(t)
 			got, err := call{gateway: gateway, service: "four", method: "GET", path: path}.do()
@@ -68,7 +70,7 @@
 		}
 	})
 
-	t.Run("methods and statuses are passed exactly", func(t *testing.T) {
+	t.Run("methods and statuses are forwarded unchanged", func(t *testing.T) {
 		for _, method := range []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PURGE"} {
 			for _, status := range []int{200, 201, 204, 301, 304, 404, 418, 500} {
 				is := is.New(t)
@@ -87,7 +89,7 @@
 				sent := strings.Repeat("x", size)
 				var body io.Reader = strings.NewReader(sent)
 				if !sized {
-					body = io.MultiReader(body) // hides the length
+					body = io.MultiReader(body) // unknown length
 				}
 				got, err := call{gateway: gateway, service: "four", method: "POST", path: "/echo", body: body}.do()
 				is.NoErr(err)
@@ -97,7 +99,7 @@
 		}
 	})
 
-	t.Run("streams pass in both directions before they end", func(t *testing.T) {
+	t.Run("bodies stream in both directions", func(t *testing.T) {
 		is := is.New(t)
 		reader, writer := io.Pipe()
 		request, err := http.NewRequest(http.MethodPut, "http://"+gateway.listen+"/echo", reader)
@@ -112,7 +114,7 @@
 		}()
 		_, err = io.WriteString(writer, "first")
 		is.NoErr(err)
-		response := <-answers // the answer begins while the request is open
+		response := <-answers // the answer begins before the request body ends
 		first := make([]byte, 5)
 		_, err = io.ReadFull(response.Body, first)
 		is.NoErr(err)
@@ -126,7 +128,7 @@
 		response.Body.Close()
 	})
 
-	t.Run("internal headers of callers do not count and do not leak", func(t *testing.T) {
+	t.Run("internal headers of callers are ignored and not returned", func(t *testing.T) {
 		is := is.New(t)
 		got, err := call{gateway: gateway, service: "four", method: "GET", path: "/x", header: map[string]string{
 			wire.HeaderCall: "service=four,request=x,budget=30,priority=1023,claim=x", "Connection": "X-Hop", "X-Hop": "1",
@@ -147,7 +149,7 @@
 		is.Equal(got.header.Get(result.HeaderOutcome), result.OutcomeNotRun)
 	})
 
-	t.Run("an answer that is cut short is never whole", func(t *testing.T) {
+	t.Run("a truncated answer is an error", func(t *testing.T) {
 		for _, chunked := range []string{"", "1"} {
 			is := is.New(t)
 			_, err := call{gateway: gateway, service: "four", method: "POST", path: "/x", header: map[string]string{
@@ -169,21 +171,21 @@
 
 	t.Run("the command line", func(t *testing.T) {
 		is := is.New(t)
-		output, status := command(t, "config", "set", "--store", c.url, "--node", gateway.control, "--wait", "30s", "--output", "json", "team/family/four", "deadline=3s")
+		output, status := runCommand(t, "config", "set", "--store", c.url, "--node", gateway.control, "--wait", "30s", "--output", "json", "team/family/four", "deadline=3s")
 		is.Equal(status, 0)
 		is.True(strings.Contains(output, `"in_force": 5`))
 		is.True(strings.Contains(output, `"after": "3s"`))
-		output, status = command(t, "config", "resolve", "--store", c.url, "four", "GET", "/x")
+		output, status = runCommand(t, "config", "resolve", "--store", c.url, "four", "GET", "/x")
 		is.Equal(status, 0)
 		is.True(strings.Contains(output, "deadline=3s"))
-		_, status = command(t, "config", "set", "--store", c.url, "team/family/four", "deadline=3 parsecs")
+		_, status = runCommand(t, "config", "set", "--store", c.url, "team/family/four", "deadline=3 parsecs")
 		is.Equal(status, 1)
-		_, status = command(t, "config", "unset", "--store", c.url, "team/family/four")
+		_, status = runCommand(t, "config", "unset", "--store", c.url, "team/family/four")
 		is.Equal(status, 0)
-		output, status = command(t, "config", "history", "--store", c.url)
+		output, status = runCommand(t, "config", "history", "--store", c.url)
 		is.Equal(status, 0)
 		is.True(strings.Contains(output, "deadline=3s"))
-		output, status = command(t, "status", gateway.control)
+		output, status = runCommand(t, "status", gateway.control)
 		is.Equal(status, 0)
 		is.Equal(strings.Count(output, "ready"), 5)
 	})
@@ -191,6 +193,7 @@
 	is.True(!strings.Contains(gateway.log.String(), "panic"))
 }
 
+// TestStartErrors checks the exit status and the output of commands that cannot start.
 func TestStartErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -206,10 +209,10 @@
 	}
 	good := "listen: 127.0.0.1:0\ncontrol: 127.0.0.1:0\n"
 	cases := []struct {
-		name      string
-		arguments []string
-		status    int
-		says      []string
+		name       string
+		arguments  []string
+		status     int
+		wantOutput []string
 	}{
 		{"valid settings", []string{"gateway", "--check", "--config", file(good)}, 0, []string{"valid"}},
 		{"unknown key", []string{"gateway", "--config", file(good + "colour: red\n")}, 2, []string{"settings.yaml:3", "colour", "allowed: id, region"}},
@@ -229,10 +232,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			output, status := command(t, c.arguments...)
+			output, status := runCommand(t, c.arguments...)
 			is.Equal(status, c.status)
-			for _, want := range c.says {
-				is.True(strings.Contains(output, want)) // the message says this
+			for _, want := range c.wantOutput {
+				is.True(strings.Contains(output, want)) // the output contains the text
 			}
 		})
 	}
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -22,25 +22,28 @@
 	"github.com/loomcleat/loomcleat/internal/standin/metastore"
 )
 
-// platformNode is a node on the users' platform with the back end beside it.
+// platformNode is a node in platform mode with its back end. It also accepts requests of
+// callers.
 type platformNode struct {
 	*program
 	service, outbound, readiness, heartbeats string
-	file                                     string // of its settings
-	binary                                   string // name in the folder of the built programs, or a path
+	settingsFile                             string
+	binary                                   string // name in the directory of built binaries, or a path
 	control                                  string
 	instance                                 atomic.Pointer[string] // the incarnation of the back end
 	sequence                                 atomic.Int64
 	runs                                     atomic.Int64
-	runsWithRow                              atomic.Int64 // once all requests of the row have begun
+	runsWithPipeline                         atomic.Int64 // value of runs once all pipelined requests have begun
 }
 
-// seal is what the stand-in of a back end signs its answers with.
+// seal is the value of the X-Response-Seal header of the stub back ends.
 const seal = "sealed"
 
-// serveBackend plays the back end: it refuses what is meant for another
-// incarnation, echoes the name of the request and calls what the header asks for.
-func (n *platformNode) serveBackend(w http.ResponseWriter, r *http.Request) {
+// serveBackEnd is the handler of the stub back end. It refuses requests for another
+// incarnation, and its answer names the service, the calling service and the path. Request
+// headers choose its behaviour: Work is a processing time, Break breaks the answer off, and
+// Call is the path of a call to make.
+func (n *platformNode) serveBackEnd(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
 	if instance := *n.instance.Load(); r.Header.Get("X-Expect-Instance") != instance {
 		w.Header().Set("X-Instance-Id", instance)
@@ -54,7 +57,7 @@
 		time.Sleep(wait)
 	}
 	if r.Header.Get("Break") != "" {
-		n.awaitRow(r.Context())
+		n.awaitPipeline(r.Context())
 		w.Header().Set("Content-Length", "64000")
 		_, _ = w.Write(make([]byte, 32000))
 		panic(http.ErrAbortHandler)
@@ -78,25 +81,25 @@
 	fmt.Fprintf(w, "%s for %s %s%s", n.service, r.Header.Get("X-Caller-Service"), r.URL.Path, inner)
 }
 
-// awaitRow waits until all requests of the row have begun. An answer that broke off before
-// the node had read those behind it would take the connection away from them.
-func (n *platformNode) awaitRow(ctx context.Context) {
-	for n.runs.Load() < n.runsWithRow.Load() && ctx.Err() == nil {
+// awaitPipeline waits until all pipelined requests have begun. An answer that breaks off
+// earlier would close the connection before the node has read the requests behind it.
+func (n *platformNode) awaitPipeline(ctx context.Context) {
+	for n.runs.Load() < n.runsWithPipeline.Load() && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// startPlatformNode starts a back end and its node. more are lines of its settings.
-func startPlatformNode(t *testing.T, store, service string, more ...string) *platformNode {
+// startPlatformNode starts a back end and its node. extraSettings are lines of YAML.
+func startPlatformNode(t *testing.T, store, service string, extraSettings ...string) *platformNode {
 	t.Helper()
 	n := newPlatformNode(t, service)
-	backend := httptest.NewServer(http.HandlerFunc(n.serveBackend))
+	backend := httptest.NewServer(http.HandlerFunc(n.serveBackEnd))
 	t.Cleanup(backend.Close)
-	n.startBeside(t, store, backend.Listener.Addr().String(), more...)
+	n.startWithBackEnd(t, store, backend.Listener.Addr().String(), extraSettings...)
 	return n
 }
 
-// newPlatformNode returns a node that has not been started.
+// newPlatformNode returns a node whose process is not started yet.
 func newPlatformNode(t *testing.T, service string) *platformNode {
 	t.Helper()
 	n := &platformNode{
@@ -113,8 +116,8 @@
 
 func (n *platformNode) setInstance(name string) { n.instance.Store(&name) }
 
-// startBeside starts the process beside the back end at an address.
-func (n *platformNode) startBeside(t *testing.T, store, backend string, more ...string) {
+// startWithBackEnd writes the settings and starts the process for the back end at an address.
+func (n *platformNode) startWithBackEnd(t *testing.T, store, backend string, extraSettings ...string) {
 	t.Helper()
 	lines := []string{
 		"id: " + n.service, "service: " + n.service, "backend: " + backend,
@@ -126,33 +129,35 @@
 		"retry_budget: {ratio: 0.2, slack: 55, window: 10s}",
 		"log: {format: json}",
 	}
-	lines = append(lines, more...)
-	n.file = filepath.Join(t.TempDir(), "node.yaml")
-	if err := os.WriteFile(n.file, []byte(strings.Join(lines, "\n")), 0o600); err != nil {
+	lines = append(lines, extraSettings...)
+	n.settingsFile = filepath.Join(t.TempDir(), "node.yaml")
+	if err := os.WriteFile(n.settingsFile, []byte(strings.Join(lines, "\n")), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	n.program = start(t, "node "+n.service, n.binary, "node", "--config", n.file)
+	n.program = start(t, "node "+n.service, n.binary, "node", "--config", n.settingsFile)
 }
 
-// startAgain starts the process anew, after it has ended.
-func (n *platformNode) startAgain() {
-	n.program = start(n.t, "node "+n.service, n.binary, "node", "--config", n.file)
+// restart starts the process again after it exited, with the same settings.
+func (n *platformNode) restart() {
+	n.program = start(n.t, "node "+n.service, n.binary, "node", "--config", n.settingsFile)
 }
 
-// beat sends a heartbeat and returns the status of its answer, 0 for none.
-func (n *platformNode) beat(state string) int {
+// sendHeartbeat sends a heartbeat of the back end and returns the HTTP status, 0 for no answer.
+func (n *platformNode) sendHeartbeat(state string) int {
 	body := fmt.Sprintf(`{"address":"127.0.0.1:1","info":{"service":%q,"version":"v1","zone":"z","slots":4},"status":{"state":%q,"seq":%d,"cold_remaining":"0ms"}}`,
 		n.service, state, n.sequence.Add(1))
 	request, _ := http.NewRequest(http.MethodPut, "http://"+n.heartbeats+"/-/instances/"+*n.instance.Load(), strings.NewReader(body))
-	return statusOf(request)
+	return fetchStatus(request)
 }
 
-func (n *platformNode) ready() int {
+// probeReadiness returns the HTTP status of the readiness probe, 0 for no answer.
+func (n *platformNode) probeReadiness() int {
 	request, _ := http.NewRequest(http.MethodGet, "http://"+n.readiness+"/-/readiness", nil)
-	return statusOf(request)
+	return fetchStatus(request)
 }
 
-func statusOf(request *http.Request) int {
+// fetchStatus sends a request and returns the HTTP status, 0 for no answer.
+func fetchStatus(request *http.Request) int {
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0
@@ -161,7 +166,7 @@
 	return response.StatusCode
 }
 
-// platformAnswer is what a client gets.
+// platformAnswer is an answer to a client. The zero value means no answer.
 type platformAnswer struct {
 	status     int
 	retryAfter string
@@ -169,13 +174,14 @@
 	body       string
 }
 
-var platformRequests atomic.Int64
+// attemptCount makes the attempt ids of clients unique.
+var attemptCount atomic.Int64
 
-// get sends a client's request to the node.
+// get sends a client's request to the node. call is the value of the Call header.
 func (n *platformNode) get(path, call string) platformAnswer {
 	request, _ := http.NewRequest(http.MethodGet, "http://"+n.outbound+path, nil)
 	request.Host = "shop.example"
-	request.Header.Set("X-Attempt-Id", "client"+strconv.FormatInt(platformRequests.Add(1), 10))
+	request.Header.Set("X-Attempt-Id", "client"+strconv.FormatInt(attemptCount.Add(1), 10))
 	request.Header.Set("X-Deadline-Remaining", "5000")
 	request.Header.Set("X-Caller-Service", "forged")
 	request.Header.Set("Call", call)
@@ -193,7 +199,7 @@
 	}
 }
 
-// dial opens a connection of a caller to the node.
+// dial opens a connection to the address of the node for callers.
 func (n *platformNode) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", n.outbound)
@@ -201,27 +207,28 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(waitTimeout))
 	return conn
 }
 
-// row sends requests behind each other on one connection, each with a header, does
-// something once they run at a back end, and returns the statuses of the answers.
-func (n *platformNode) row(t *testing.T, runsAt *platformNode, headers []string, meanwhile func()) []int {
+// pipeline sends pipelined requests on one connection, each with one of the headers. Once
+// all run at the back end of runsAt, it calls meanwhile. It returns the statuses of the
+// answers.
+func (n *platformNode) pipeline(t *testing.T, runsAt *platformNode, headers []string, meanwhile func()) []int {
 	t.Helper()
 	is := is.New(t)
 	conn := n.dial(t)
-	whole := runsAt.runs.Load() + int64(len(headers))
-	runsAt.runsWithRow.Store(whole)
+	total := runsAt.runs.Load() + int64(len(headers))
+	runsAt.runsWithPipeline.Store(total)
 	for _, header := range headers {
 		if header == "" {
 			header = "None: 1"
 		}
 		_, err := fmt.Fprintf(conn, "GET /front/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: row%d\r\nX-Deadline-Remaining: 5000\r\n%s\r\n\r\n",
-			platformRequests.Add(1), header)
+			attemptCount.Add(1), header)
 		is.NoErr(err)
 	}
-	eventually(t, "the row to begin", func() bool { return runsAt.runs.Load() >= whole })
+	eventually(t, "the pipelined requests to run", func() bool { return runsAt.runs.Load() >= total })
 	meanwhile()
 	statuses := []int{}
 	for _, answer := range readAnswers(t, conn, len(headers)) {
@@ -230,7 +237,7 @@
 	return statuses
 }
 
-// readAnswers reads whole answers that come behind each other on a connection.
+// readAnswers reads a number of complete answers from a connection.
 func readAnswers(t *testing.T, conn net.Conn, count int) []*http.Response {
 	t.Helper()
 	is := is.New(t)
@@ -246,9 +253,9 @@
 	return answers
 }
 
-// served asks until a request is served whole, as clients do that are told to
-// come back: a busy machine may make nodes doubt each other for a moment.
-func (n *platformNode) served(t *testing.T, path, call string) platformAnswer {
+// getUntilServed repeats a request until it and its call succeed. On a busy machine nodes
+// may briefly suspect each other and refuse requests.
+func (n *platformNode) getUntilServed(t *testing.T, path, call string) platformAnswer {
 	t.Helper()
 	var got platformAnswer
 	eventually(t, path+" to be served", func() bool {
@@ -265,7 +272,9 @@
 {"name":"deep","path_prefix":"/deep/","type":"unsafe","timeout":"3s","priority":0,"service":"deep","max_attempts":1}]}]}`, version, front)
 }
 
-func TestNodesOnThePlatform(t *testing.T) {
+// TestNodesOnPlatform runs two nodes in platform mode through their life: a start without a
+// configuration, faults of the store, a reload, a draining back end and a graceful stop.
+func TestNodesOnPlatform(t *testing.T) {
 	is := is.New(t)
 	stub := metastore.NewServer()
 	store := httptest.NewServer(stub.Handler())
@@ -274,60 +283,60 @@
 	deep := startPlatformNode(t, store.URL, "deep")
 	nodes := []*platformNode{front, deep}
 
-	// No configuration is known yet: not ready, and nobody is told that there is no route.
+	// Without a configuration, nodes are not ready and refuse requests with 503 instead of 404.
 	for _, n := range nodes {
-		eventually(t, "the probe to be answered", func() bool { return n.ready() == http.StatusServiceUnavailable })
+		eventually(t, "the probe to be answered", func() bool { return n.probeReadiness() == http.StatusServiceUnavailable })
 		refused := n.get("/front/x", "")
 		is.Equal(refused.status, http.StatusServiceUnavailable)
 		is.True(refused.retryAfter != "")
 	}
 	stub.Put("op/config", platformConfiguration(3, "front"))
 	for _, n := range nodes {
-		eventually(t, "readiness", func() bool { return n.ready() == http.StatusOK })
-		is.Equal(n.beat("ready"), http.StatusOK)
+		eventually(t, "readiness", func() bool { return n.probeReadiness() == http.StatusOK })
+		is.Equal(n.sendHeartbeat("ready"), http.StatusOK)
 	}
 
-	// A client of one machine is served by a back end of another, which makes a call.
-	whole := deep.served(t, "/front/x", "/deep/y")
-	is.Equal(whole.body, "front for deep /front/x [200 deep for front /deep/y]")
-	is.Equal(whole.seal, seal)
+	// A request to one node is served by the back end of the other, which makes a call.
+	complete := deep.getUntilServed(t, "/front/x", "/deep/y")
+	is.Equal(complete.body, "front for deep /front/x [200 deep for front /deep/y]")
+	is.Equal(complete.seal, seal)
 	is.Equal(front.get("/nowhere/", "").status, http.StatusNotFound)
 
-	// The store goes silent: heartbeats are acknowledged and requests are served.
+	// While the store does not answer, heartbeats are acknowledged and requests are served.
 	stub.SetFaults(metastore.Faults{Silent: true})
-	is.Equal(front.beat("ready"), http.StatusOK)
-	deep.served(t, "/front/x", "/deep/y")
+	is.Equal(front.sendHeartbeat("ready"), http.StatusOK)
+	deep.getUntilServed(t, "/front/x", "/deep/y")
 	stub.SetFaults(metastore.Faults{})
 
-	// A change, of which waits do not tell, is in force everywhere.
+	// A configuration change takes effect on every node even if watches do not report it.
 	stub.SetFaults(metastore.Faults{MuteWaits: true})
 	stub.Put("op/config", platformConfiguration(8, "deep"))
 	for _, n := range nodes {
-		eventually(t, "the change", func() bool { return strings.HasPrefix(n.get("/front/x", "").body, "deep for") })
+		eventually(t, "the changed route to take effect", func() bool { return strings.HasPrefix(n.get("/front/x", "").body, "deep for") })
 	}
 	stub.SetFaults(metastore.Faults{})
 
-	// A change of the settings file, announced or not, ends nothing.
+	// SIGHUP reloads the settings file without interrupting service.
 	front.signal(syscall.SIGHUP)
 	eventually(t, "the reload", func() bool { return strings.Contains(front.log.String(), "settings-reloaded") })
-	front.served(t, "/front/x", "")
+	front.getUntilServed(t, "/front/x", "")
 
-	// Requests in a row are served together; one whose answer breaks off loses nobody.
-	statuses := front.row(t, deep, []string{"Break: 1", "", "Work: 1s"}, func() {})
+	// Pipelined requests are served concurrently, and a broken answer fails only its own request.
+	statuses := front.pipeline(t, deep, []string{"Break: 1", "", "Work: 1s"}, func() {})
 	is.Equal(statuses, []int{http.StatusBadGateway, http.StatusOK, http.StatusOK})
 
-	// A back end that leaves gets nothing any more.
-	is.Equal(deep.beat("draining"), http.StatusOK)
-	eventually(t, "the back end to be closed", func() bool { return front.get("/deep/y", "").status == http.StatusServiceUnavailable })
+	// A draining back end gets no more requests.
+	is.Equal(deep.sendHeartbeat("draining"), http.StatusOK)
+	eventually(t, "the draining back end to be refused", func() bool { return front.get("/deep/y", "").status == http.StatusServiceUnavailable })
 	before := deep.runs.Load()
 	refused := front.get("/deep/y", "")
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.True(refused.retryAfter != "")
 	is.Equal(deep.runs.Load(), before)
 
-	// A planned stop is seen by the probe before the process ends.
+	// During a graceful stop, the readiness probe fails before the process exits.
 	front.signal(syscall.SIGTERM)
-	eventually(t, "the probe to fail", func() bool { return front.ready() != http.StatusOK })
+	eventually(t, "the probe to fail", func() bool { return front.probeReadiness() != http.StatusOK })
 	front.terminate()
 	is.NoErr(front.err)
 	is.True(strings.Contains(front.log.String(), "process-stopped"))
@@ -335,12 +344,12 @@
 	if err == nil {
 		conn.Close()
 	}
-	is.True(err != nil) // nothing listens any more
+	is.True(err != nil) // the process no longer listens
 }
 
-// TestAPlannedStopAnswersARow: requests behind each other on a connection that have
-// begun are answered, whatever the stop says of the connection.
-func TestAPlannedStopAnswersARow(t *testing.T) {
+// TestGracefulStopAnswersPipelinedRequests guards against a graceful stop that closes a
+// connection before all pipelined requests that have begun are answered.
+func TestGracefulStopAnswersPipelinedRequests(t *testing.T) {
 	is := is.New(t)
 	stub := metastore.NewServer()
 	store := httptest.NewServer(stub.Handler())
@@ -349,13 +358,13 @@
 	front := startPlatformNode(t, store.URL, "front")
 	deep := startPlatformNode(t, store.URL, "deep")
 	for _, n := range []*platformNode{front, deep} {
-		eventually(t, "readiness", func() bool { return n.ready() == http.StatusOK })
-		is.Equal(n.beat("ready"), http.StatusOK)
+		eventually(t, "readiness", func() bool { return n.probeReadiness() == http.StatusOK })
+		is.Equal(n.sendHeartbeat("ready"), http.StatusOK)
 	}
-	deep.served(t, "/front/x", "")
-	statuses := deep.row(t, front, []string{"Work: 300ms", "Work: 600ms", "Work: 50ms"}, func() {
+	deep.getUntilServed(t, "/front/x", "")
+	statuses := deep.pipeline(t, front, []string{"Work: 300ms", "Work: 600ms", "Work: 50ms"}, func() {
 		deep.signal(syscall.SIGTERM)
-		eventually(t, "the probe to fail", func() bool { return deep.ready() != http.StatusOK })
+		eventually(t, "the probe to fail", func() bool { return deep.probeReadiness() != http.StatusOK })
 	})
 	is.Equal(statuses, []int{http.StatusOK, http.StatusOK, http.StatusOK})
 	deep.terminate()
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -25,9 +25,9 @@
 	"back": {Routes: []backend.Route{{Match: "* /x", Work: 5 * time.Millisecond}}},
 }
 
-// loadOf sends requests through the gateways until it is stopped, and collects
-// what was not answered as promised: a failure, or an outcome that is unknown.
-type loadOf struct {
+// loadGenerator sends requests through the gateways until it is stopped. problems lists
+// the requests that were neither answered nor refused as not run.
+type loadGenerator struct {
 	group    sync.WaitGroup
 	done     chan struct{}
 	mutex    sync.Mutex
@@ -36,8 +36,8 @@
 	problems []string
 }
 
-func startLoad(gateways func() []*member, callers int) *loadOf {
-	l := &loadOf{done: make(chan struct{})}
+func startLoad(gateways func() []*member, callers int) *loadGenerator {
+	l := &loadGenerator{done: make(chan struct{})}
 	for caller := range callers {
 		l.group.Go(func() {
 			for i := 0; ; i++ {
@@ -48,14 +48,14 @@
 				}
 				list := gateways()
 				got, err := call{gateway: list[(caller+i)%len(list)], service: "front", method: "POST", path: "/x", body: strings.NewReader("b")}.do()
-				l.note(got, err)
+				l.record(got, err)
 			}
 		})
 	}
 	return l
 }
 
-func (l *loadOf) note(got answered, err error) {
+func (l *loadGenerator) record(got answer, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch {
@@ -70,14 +70,14 @@
 	}
 }
 
-func (l *loadOf) stop() {
+func (l *loadGenerator) stop() {
 	close(l.done)
 	l.group.Wait()
 }
 
-// TestRollingReplacementUnderLoad replaces every node, back end and gateway,
-// one after the other, while requests flow that may not be repeated. The machine
-// list lags by an hour and the store is slow, or down all the time.
+// TestRollingReplacementUnderLoad replaces all nodes with their back ends, and all gateways,
+// one at a time under a load of requests that may not be repeated. The machine list lags by
+// an hour, and the store is slow or down.
 func TestRollingReplacementUnderLoad(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -87,21 +87,21 @@
 		{"the store is down", consul.Faults{MachineLag: time.Hour, Down: true}},
 	}
 	for _, rolling := range cases {
-		t.Run(rolling.name, func(t *testing.T) { rollUnderLoad(t, rolling.faults) })
+		t.Run(rolling.name, func(t *testing.T) { replaceUnderLoad(t, rolling.faults) })
 	}
 }
 
-func rollUnderLoad(t *testing.T, faults consul.Faults) {
+func replaceUnderLoad(t *testing.T, faults consul.Faults) {
 	is := is.New(t)
 	c := newCluster(t, twoServiceGraph)
-	c.settings(fastSettings)
+	c.writeSettings(fastSettings)
 	for range 3 {
 		c.addNode("front")
 		c.addNode("back")
 	}
 	c.addGateway()
 	c.addGateway()
-	c.ready()
+	c.waitReady()
 	c.platform.SetFaults(faults)
 	var mutex sync.Mutex
 	current := append([]*member{}, c.gateways...)
@@ -112,24 +112,24 @@
 	}, 8)
 	for _, old := range append([]*member{}, c.nodes...) {
 		c.addNode(old.service)
-		c.ready()
+		c.waitReady()
 		old.terminate()
 		old.backend.terminate()
 		c.remove(old)
 	}
 	for _, old := range append([]*member{}, c.gateways...) {
 		replacement := c.addGateway()
-		c.ready()
+		c.waitReady()
 		mutex.Lock()
 		current = append(current, replacement)
 		for i, gateway := range current {
-			if gateway == old { // as a caller that follows the readiness probe
+			if gateway == old { // callers follow the readiness probe
 				current = append(current[:i], current[i+1:]...)
 				break
 			}
 		}
 		mutex.Unlock()
-		time.Sleep(300 * time.Millisecond) // requests on their way to the old one
+		time.Sleep(300 * time.Millisecond) // for requests that callers are sending to the old gateway
 		old.terminate()
 		c.remove(old)
 	}
@@ -137,7 +137,7 @@
 	t.Logf("%d answers, %d refusals as not run", load.answers, load.refused)
 	is.Equal(load.problems, nil)
 	is.True(load.answers > 100)
-	is.True(load.refused < load.answers/20) // refusals are allowed, but not the rule
+	is.True(load.refused < load.answers/20) // less than 5% as many refusals as answers
 	for _, m := range c.nodes {
 		is.True(!strings.Contains(m.log.String(), "request-panic"))
 	}
@@ -147,31 +147,31 @@
 	is.Equal(got.status, 200)
 }
 
-// TestALeavingBackEndGetsNoNewWork lets a back end announce that it drains, or
-// end without a word, and checks where requests go then.
-func TestALeavingBackEndGetsNoNewWork(t *testing.T) {
+// TestLeavingBackEndGetsNoNewRequests checks that requests go to the other back end once one
+// drains or stops.
+func TestLeavingBackEndGetsNoNewRequests(t *testing.T) {
 	cases := []struct {
 		name  string
 		leave func(c *cluster, leaving *member)
 	}{
-		{"the health path says draining", func(_ *cluster, leaving *member) { leaving.backend.SetFaults(backend.Faults{Draining: true}) }},
+		{"the health path reports draining", func(_ *cluster, leaving *member) { leaving.backend.SetFaults(backend.Faults{Draining: true}) }},
 		{"the back end refuses connections", func(_ *cluster, leaving *member) { leaving.backend.terminate() }},
-		{"the node is told to stop", func(_ *cluster, leaving *member) { leaving.signal(syscall.SIGTERM) }},
-		{"the machine list says leaving", func(c *cluster, leaving *member) {
-			c.platform.Register(machineRow(leaving, "leaving"))
+		{"the node gets SIGTERM", func(_ *cluster, leaving *member) { leaving.signal(syscall.SIGTERM) }},
+		{"the machine list reports leaving", func(c *cluster, leaving *member) {
+			c.platform.Register(catalogRowWithState(leaving, "leaving"))
 		}},
 	}
 	for _, leaving := range cases {
 		t.Run(leaving.name, func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, twoServiceGraph)
-			c.settings(fastSettings + "backend_health_path: " + backend.HealthPath + "\n")
+			c.writeSettings(fastSettings + "backend_health_path: " + backend.HealthPath + "\n")
 			first, second := c.addNode("back"), c.addNode("back")
 			gateway := c.addGateway()
-			c.file = "" // the gateway's settings have no health path
-			c.ready()
+			c.settingsFile = "" // no settings file for members added later
+			c.waitReady()
 			leaving.leave(c, first)
-			eventually(t, "the gateway to know", func() bool {
+			eventually(t, "the gateway to see the node as leaving or down", func() bool {
 				status, err := gateway.status()
 				if err != nil {
 					return false
@@ -199,22 +199,23 @@
 	}
 }
 
-func machineRow(m *member, state string) consulkv.CatalogRow {
+// catalogRowWithState returns the row of a member in the machine list, with a state.
+func catalogRowWithState(m *member, state string) consulkv.CatalogRow {
 	row := catalogRow(m)
 	row.ServiceMeta[consulkv.MetaState] = state
 	return row
 }
 
-// TestALongRequestSurvivesTheStopOfItsProcesses stops the node and the gateway
-// of a request that takes longer than the announce time.
-func TestALongRequestSurvivesTheStopOfItsProcesses(t *testing.T) {
+// TestLongRequestSurvivesGracefulStop stops the node, back end and gateway that serve a
+// request. The request takes longer than the announce time.
+func TestLongRequestSurvivesGracefulStop(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, twoServiceGraph)
-	c.settings(fastSettings)
+	c.writeSettings(fastSettings)
 	node := c.addNode("back")
 	gateway := c.addGateway()
-	c.ready()
-	done := make(chan answered, 1)
+	c.waitReady()
+	done := make(chan answer, 1)
 	go func() {
 		got, err := call{gateway: gateway, service: "back", method: "POST", path: "/long", header: map[string]string{
 			backend.HeaderTag: "long", backend.HeaderDelay: "2s", backend.HeaderBytes: "100000"}}.do()
@@ -223,7 +224,7 @@
 		}
 		close(done)
 	}()
-	c.runner("long")
+	c.waitForRun("long")
 	node.signal(syscall.SIGTERM)
 	gateway.signal(syscall.SIGTERM)
 	go node.backend.terminate()
@@ -234,15 +235,15 @@
 	gateway.terminate()
 }
 
-// TestAProcessThatStartsDuringAnOutage learns the policy from its peers, and a
-// process that starts alone waits for the store.
-func TestAProcessThatStartsDuringAnOutage(t *testing.T) {
+// TestStartDuringStoreOutage checks that a process gets the policy from its peers if it
+// starts while the store is down, and that a process without peers waits for the store.
+func TestStartDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, twoServiceGraph)
-	c.settings(fastSettings)
+	c.writeSettings(fastSettings)
 	c.addNode("back")
 	c.addGateway()
-	c.ready()
+	c.waitReady()
 	store := consulkv.NewClient(consulkv.Config{BaseURL: c.url})
 	_, err := editor.New(store, "test").Apply(t.Context(), []policy.Change{{Path: "t/f/back", Key: "class", Value: "critical"}})
 	is.NoErr(err)
@@ -254,18 +255,18 @@
 	}
 	eventually(t, "the edit to be in force", has(c.gateways[0]))
 	c.platform.SetFaults(consul.Faults{Down: true})
-	late := c.addGateway()
-	eventually(t, "the late gateway to learn the policy from its peers", has(late))
+	added := c.addGateway()
+	eventually(t, "the new gateway to get the policy from its peers", has(added))
 	restarted := c.gateways[0]
 	restarted.kill()
 	c.launch(restarted)
-	eventually(t, "the restarted gateway to learn the policy from its peers", has(restarted))
+	eventually(t, "the restarted gateway to get the policy from its peers", has(restarted))
 
 	alone := newCluster(t, twoServiceGraph)
-	alone.settings(fastSettings + "seeds: [127.0.0.1:1]\n")
+	alone.writeSettings(fastSettings + "seeds: [127.0.0.1:1]\n")
 	alone.platform.SetFaults(consul.Faults{Down: true})
 	gateway := alone.addGateway()
-	eventually(t, "the process to say that the store does not answer", func() bool {
+	eventually(t, "the process to log that the store and its peer are unreachable", func() bool {
 		log := gateway.log.String()
 		return strings.Contains(log, "store-unreachable") && strings.Contains(log, "peer-unreachable")
 	})
--- a/e2e/suspended_test.go
+++ b/e2e/suspended_test.go
@@ -16,9 +16,9 @@
 	"github.com/loomcleat/loomcleat/internal/standin/metastore"
 )
 
-// buildSuspendable builds the program with a clock that a test can put forward, as a
-// suspension of its machine does, and returns its path.
-func buildSuspendable(t *testing.T) string {
+// buildWithTestClock builds the binary with a clock that a test can advance, to simulate
+// the suspension of its machine, and returns its path.
+func buildWithTestClock(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "loomcleat")
 	build := exec.Command("go", "build", "-tags", "suspendedclock", "-o", path, "../cmd/loomcleat")
@@ -28,11 +28,12 @@
 	return path
 }
 
-// machineClock is the clock of the machines that a test suspends.
+// machineClock is the clock of the machines that a test suspends. The processes read the
+// total suspended time, in nanoseconds, from the file at path.
 type machineClock struct {
-	t     *testing.T
-	path  string
-	slept time.Duration
+	t         *testing.T
+	path      string
+	suspended time.Duration
 }
 
 func newMachineClock(t *testing.T) *machineClock {
@@ -41,16 +42,16 @@
 	return c
 }
 
-// suspend stops nodes and lets them go on with a clock that has gone on.
+// suspend stops nodes, calls meanwhile, advances the clock by duration and resumes the nodes.
 func (c *machineClock) suspend(duration time.Duration, meanwhile func(), nodes ...*platformNode) {
 	c.t.Helper()
 	for _, n := range nodes {
 		n.signal(syscall.SIGSTOP)
 	}
 	meanwhile()
-	c.slept += duration
+	c.suspended += duration
 	next := c.path + ".next"
-	if err := os.WriteFile(next, []byte(strconv.FormatInt(int64(c.slept), 10)), 0o600); err != nil {
+	if err := os.WriteFile(next, []byte(strconv.FormatInt(int64(c.suspended), 10)), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
 	if err := os.Rename(next, c.path); err != nil {
@@ -61,44 +62,37 @@
 	}
 }
 
-// TestAKeyTakenAwayDuringASuspensionIsRefused
-//
-// Symptom: a machine that was suspended for 30 seconds lets in a key that was taken away
-// in that time.
-//
-// Sequence: the node proves its policy; the machine is suspended; the key is taken away;
-// the machine goes on, and the first request with the key is served by the old policy.
-//
-// Cause: the age of the proof was measured by the steady clock, which stands still while a
-// machine is suspended, so that the proof seemed as new as before.
-func TestAKeyTakenAwayDuringASuspensionIsRefused(t *testing.T) {
+// TestRevokedKeyRefusedAfterSuspension guards against measuring the age of the confirmed
+// policy by a clock that stops during suspension. A node would then accept a key that was
+// revoked while its machine was suspended.
+func TestRevokedKeyRefusedAfterSuspension(t *testing.T) {
 	is := is.New(t)
 	clock := newMachineClock(t)
 	stub := metastore.NewServer()
 	store := httptest.NewServer(stub.Handler())
 	t.Cleanup(store.Close)
 	stub.Put("op/config", tenantsConfiguration(3, allTenants))
-	program := buildSuspendable(t)
+	program := buildWithTestClock(t)
 	front := newPlatformNode(t, "front")
 	front.binary = program
-	backend := httptest.NewServer(http.HandlerFunc(front.serveBackend))
+	backend := httptest.NewServer(http.HandlerFunc(front.serveBackEnd))
 	t.Cleanup(backend.Close)
-	front.startBeside(t, store.URL, backend.Listener.Addr().String(), "key_revocation: "+revocationTime.String())
-	eventually(t, "readiness", func() bool { return front.ready() == http.StatusOK })
-	is.Equal(front.beat("ready"), http.StatusOK)
-	eventually(t, "a request to be served", func() bool { return front.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
+	front.startWithBackEnd(t, store.URL, backend.Listener.Addr().String(), "key_revocation: "+revocationTime.String())
+	eventually(t, "readiness", func() bool { return front.probeReadiness() == http.StatusOK })
+	is.Equal(front.sendHeartbeat("ready"), http.StatusOK)
+	eventually(t, "a request to be served", func() bool { return front.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
 
 	runs := front.runs.Load()
 	clock.suspend(30*time.Second, func() {
 		stub.Put("op/config", tenantsConfiguration(5, `[{"name":"smith","api_keys":["secret-of-the-new"]}]`))
 	}, front)
-	first := front.ask(t, "/front/x", keyOfSmith, nil)
+	first := front.getWithKey(t, "/front/x", keyOfSmith, nil)
 	is.True(first.StatusCode == http.StatusServiceUnavailable || first.StatusCode == http.StatusUnauthorized)
-	is.Equal(front.runs.Load(), runs) // it did not run
+	is.Equal(front.runs.Load(), runs) // the request did not run
 
-	// The policy in force is found, and goes by at once.
-	eventually(t, "the old key to be unknown", func() bool {
-		return front.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized
+	// The node fetches the current policy and applies it.
+	eventually(t, "the revoked key to be refused", func() bool {
+		return front.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized
 	})
-	is.Equal(front.ask(t, "/front/x", "secret-of-the-new", nil).StatusCode, http.StatusOK)
+	is.Equal(front.getWithKey(t, "/front/x", "secret-of-the-new", nil).StatusCode, http.StatusOK)
 }
--- a/e2e/tenants_test.go
+++ b/e2e/tenants_test.go
@@ -16,48 +16,48 @@
 	"github.com/loomcleat/loomcleat/internal/standin/metastore"
 )
 
-// revocationTime is that of the nodes of these tests.
+// revocationTime is the key_revocation setting: a revoked key is refused within this time.
 const revocationTime = 4 * time.Second
 
-// tenantsConfiguration routes /front/ to callers with a key and /deep/ to all.
+// tenantsConfiguration requires a key on /front/ and makes /deep/ public.
 func tenantsConfiguration(version int, tenants string) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"tenants":%s,"hosts":[{"host":"shop.example","paths":[
 {"name":"front","path_prefix":"/front/","type":"safe","timeout":"3s","priority":1,"service":"front","max_attempts":2,"public":false},
 {"name":"deep","path_prefix":"/deep/","type":"unsafe","timeout":"3s","priority":0,"service":"deep","max_attempts":1,"public":true}]}]}`, version, tenants)
 }
 
-// Keys of the tenants, which must stand in no log.
+// API keys of the tenants. They must not appear in logs.
 const (
 	keyOfSmith = "secret-of-smith"
 	keyOfJones = "secret-of-jones"
 	keyOfBrown = "secret-of-brown"
 )
 
-// allTenants are two without a quota and one with a small one.
+// allTenants is the JSON list of tenants: two without a quota, and jones with a small one.
 const allTenants = `[{"name":"brown","api_keys":["` + keyOfBrown + `"],"priority":1},{"name":"smith","api_keys":["` + keyOfSmith + `"],"priority":1},{"name":"jones","api_keys":["` + keyOfJones + `"],"priority":1,"rate_per_s":2,"burst":2}]`
 
-// door is a way to the store that can be shut for one node.
-type door struct {
-	store http.Handler
-	shut  atomic.Bool
+// storeProxy forwards the requests of one node to the store, or answers 503 while blocked.
+type storeProxy struct {
+	store   http.Handler
+	blocked atomic.Bool
 }
 
-// ServeHTTP implements http.Handler.
-func (d *door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if d.shut.Load() {
+func (p *storeProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if p.blocked.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	d.store.ServeHTTP(w, r)
+	p.store.ServeHTTP(w, r)
 }
 
-// keyedNodes are two nodes, each with a door of its own to one store.
+// keyedNodes are two nodes that use one store, each through its own proxy.
 type keyedNodes struct {
 	stub        *metastore.Server
 	front, deep *platformNode
-	doors       [2]*door
+	proxies     [2]*storeProxy
 }
 
+// startKeyedNodes starts both nodes and waits until they serve requests.
 func startKeyedNodes(t *testing.T) *keyedNodes {
 	t.Helper()
 	is := is.New(t)
@@ -65,34 +65,35 @@
 	k.stub.Put("op/config", tenantsConfiguration(3, allTenants))
 	nodes := [2]*platformNode{}
 	for i, service := range []string{"front", "deep"} {
-		k.doors[i] = &door{store: k.stub.Handler()}
-		server := httptest.NewServer(k.doors[i])
+		k.proxies[i] = &storeProxy{store: k.stub.Handler()}
+		server := httptest.NewServer(k.proxies[i])
 		t.Cleanup(server.Close)
 		nodes[i] = startPlatformNode(t, server.URL, service, "key_revocation: "+revocationTime.String())
 	}
 	k.front, k.deep = nodes[0], nodes[1]
 	for _, n := range nodes {
-		eventually(t, "readiness", func() bool { return n.ready() == http.StatusOK })
-		is.Equal(n.beat("ready"), http.StatusOK)
+		eventually(t, "readiness", func() bool { return n.probeReadiness() == http.StatusOK })
+		is.Equal(n.sendHeartbeat("ready"), http.StatusOK)
 	}
-	eventually(t, "a request to be served", func() bool { return k.deep.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
+	eventually(t, "a request to be served", func() bool { return k.deep.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusOK })
 	return k
 }
 
-// ask sends a request with a key, "" for none, and further headers.
-func (n *platformNode) ask(t *testing.T, path, key string, more map[string]string) *http.Response {
+// getWithKey sends a request with an API key, "" for none, and further headers. It returns
+// a zero response if there is no answer.
+func (n *platformNode) getWithKey(t *testing.T, path, key string, headers map[string]string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodGet, "http://"+n.outbound+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Host = "shop.example"
-	request.Header.Set("X-Attempt-Id", "client"+strconv.FormatInt(platformRequests.Add(1), 10))
+	request.Header.Set("X-Attempt-Id", "client"+strconv.FormatInt(attemptCount.Add(1), 10))
 	request.Header.Set("X-Deadline-Remaining", "5000")
 	if key != "" {
 		request.Header.Set("X-Credential", key)
 	}
-	for name, value := range more {
+	for name, value := range headers {
 		request.Header.Set(name, value)
 	}
 	response, err := http.DefaultClient.Do(request)
@@ -104,59 +105,61 @@
 	return response
 }
 
-func TestCallersSpeakForTenants(t *testing.T) {
+// TestKeyDeterminesTenant checks that the tenant of a request follows from its API key and
+// never from headers that the caller chooses.
+func TestKeyDeterminesTenant(t *testing.T) {
 	is := is.New(t)
 	k := startKeyedNodes(t)
 	for _, n := range []*platformNode{k.front, k.deep} {
-		is.Equal(n.ask(t, "/front/x", "", nil).StatusCode, http.StatusUnauthorized)
-		is.Equal(n.ask(t, "/front/x", "unknown", nil).StatusCode, http.StatusUnauthorized)
+		is.Equal(n.getWithKey(t, "/front/x", "", nil).StatusCode, http.StatusUnauthorized)
+		is.Equal(n.getWithKey(t, "/front/x", "unknown", nil).StatusCode, http.StatusUnauthorized)
 
-		// The back end sees the tenant, whatever the caller says, and never the key.
-		served := n.ask(t, "/front/x", keyOfSmith, map[string]string{"X-Tenant": "jones"})
+		// The back end gets the tenant of the key, not that of the header, and never the key.
+		served := n.getWithKey(t, "/front/x", keyOfSmith, map[string]string{"X-Tenant": "jones"})
 		is.Equal(served.StatusCode, http.StatusOK)
 		is.Equal(served.Header.Get("Saw-Tenant"), "smith")
 		is.Equal(served.Header.Get("Saw-Credential"), "")
-		public := n.ask(t, "/deep/y", "", map[string]string{"X-Tenant": "jones"})
+		public := n.getWithKey(t, "/deep/y", "", map[string]string{"X-Tenant": "jones"})
 		is.Equal(public.StatusCode, http.StatusOK)
 		is.Equal(public.Header.Get("Saw-Tenant"), "")
 	}
 
-	// A call of a back end has no key, and goes through.
-	is.Equal(k.deep.ask(t, "/front/x", keyOfSmith, map[string]string{"Call": "/deep/y"}).StatusCode, http.StatusOK)
+	// A call by a back end needs no key.
+	is.Equal(k.deep.getWithKey(t, "/front/x", keyOfSmith, map[string]string{"Call": "/deep/y"}).StatusCode, http.StatusOK)
 
-	// A caller that names its request as a back end names its calls gets nowhere.
+	// A caller cannot pass as a back end by using the attempt id of a call.
 	running := make(chan struct{})
 	go func() {
 		defer close(running)
-		k.deep.ask(t, "/front/x", keyOfSmith, map[string]string{"X-Attempt-Id": "running", "Work": "1s"})
+		k.deep.getWithKey(t, "/front/x", keyOfSmith, map[string]string{"X-Attempt-Id": "running", "Work": "1s"})
 	}()
 	before := k.front.runs.Load()
 	eventually(t, "the request to run", func() bool { return k.front.runs.Load() > before })
-	is.Equal(k.front.ask(t, "/front/x", "", map[string]string{"X-Attempt-Id": "running.1"}).StatusCode, http.StatusUnauthorized)
+	is.Equal(k.front.getWithKey(t, "/front/x", "", map[string]string{"X-Attempt-Id": "running.1"}).StatusCode, http.StatusUnauthorized)
 	<-running
 
-	// Requests behind each other on a connection each speak for themselves.
-	is.Equal(k.deep.rowOfKeys(t, keyOfSmith, "", keyOfBrown, "unknown"), []string{"200 smith", "401 ", "200 brown", "401 "})
-	is.Equal(k.deep.chunked(t, keyOfSmith), "200 smith")
+	// Each pipelined request is authenticated by its own key.
+	is.Equal(k.deep.pipelineWithKeys(t, keyOfSmith, "", keyOfBrown, "unknown"), []string{"200 smith", "401 ", "200 brown", "401 "})
+	is.Equal(k.deep.postChunked(t, keyOfSmith), "200 smith")
 
-	// A key that is taken away stops working, and another one begins.
+	// A revoked key is refused, and its replacement is accepted.
 	k.stub.Put("op/config", tenantsConfiguration(5, `[{"name":"smith","api_keys":["secret-of-the-new"]}]`))
 	for _, n := range []*platformNode{k.front, k.deep} {
-		eventually(t, "the key to stop working", func() bool {
-			return n.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized
+		eventually(t, "the revoked key to be refused", func() bool {
+			return n.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized
 		})
-		is.Equal(n.ask(t, "/front/x", "secret-of-the-new", nil).StatusCode, http.StatusOK)
+		is.Equal(n.getWithKey(t, "/front/x", "secret-of-the-new", nil).StatusCode, http.StatusOK)
 		is.True(!strings.Contains(n.log.String(), "secret"))
 	}
 }
 
-// rowOfKeys sends requests behind each other on one connection, each with a key, and
-// returns the status and the tenant of each answer.
-func (n *platformNode) rowOfKeys(t *testing.T, keys ...string) []string {
+// pipelineWithKeys sends pipelined requests on one connection, each with a key, "" for none,
+// and returns the status and the tenant of each answer.
+func (n *platformNode) pipelineWithKeys(t *testing.T, keys ...string) []string {
 	t.Helper()
 	requests := strings.Builder{}
 	for _, key := range keys {
-		fmt.Fprintf(&requests, "GET /front/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: row%d\r\nX-Deadline-Remaining: 5000\r\n", platformRequests.Add(1))
+		fmt.Fprintf(&requests, "GET /front/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: row%d\r\nX-Deadline-Remaining: 5000\r\n", attemptCount.Add(1))
 		if key != "" {
 			fmt.Fprintf(&requests, "X-Credential: %s\r\n", key)
 		}
@@ -165,14 +168,17 @@
 	return n.exchange(t, requests.String(), len(keys))
 }
 
-// chunked sends a request whose body comes in chunks.
-func (n *platformNode) chunked(t *testing.T, key string) string {
+// postChunked sends a request with a chunked body and a forged tenant header, and returns
+// the status and the tenant of the answer.
+func (n *platformNode) postChunked(t *testing.T, key string) string {
 	t.Helper()
 	request := fmt.Sprintf("POST /front/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: chunked\r\nX-Deadline-Remaining: 5000\r\n"+
 		"X-Tenant: jones\r\nX-Credential: %s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", key)
 	return n.exchange(t, request, 1)[0]
 }
 
+// exchange writes raw requests to a connection and returns the status and the tenant of
+// each answer.
 func (n *platformNode) exchange(t *testing.T, requests string, count int) []string {
 	t.Helper()
 	is := is.New(t)
@@ -186,44 +192,46 @@
 	return answers
 }
 
-// TestKeysWithoutTheStore: a node that the store turns away goes by what its peers prove,
-// and nodes that nobody can prove anything to refuse keys in time.
-func TestKeysWithoutTheStore(t *testing.T) {
+// TestKeysDuringStoreOutage checks that a node without the store accepts keys as long as a
+// peer confirms the policy, and that all nodes refuse keys within the revocation time if
+// none reaches the store.
+func TestKeysDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
 	k := startKeyedNodes(t)
-	k.doors[0].shut.Store(true)
+	k.proxies[0].blocked.Store(true)
 	for end := time.Now().Add(3 * revocationTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		is.Equal(k.front.ask(t, "/front/x", keyOfSmith, nil).StatusCode, http.StatusOK)
+		is.Equal(k.front.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode, http.StatusOK)
 	}
-	k.doors[1].shut.Store(true)
+	k.proxies[1].blocked.Store(true)
 	cutAt := time.Now()
-	k.stub.Put("op/config", tenantsConfiguration(4, "[]")) // of which nobody hears
+	k.stub.Put("op/config", tenantsConfiguration(4, "[]")) // reaches no node
 	for _, n := range []*platformNode{k.front, k.deep} {
 		var refused *http.Response
 		eventually(t, "the keys to be refused", func() bool {
 			asked := time.Now()
-			refused = n.ask(t, "/front/x", keyOfSmith, nil)
+			refused = n.getWithKey(t, "/front/x", keyOfSmith, nil)
 			if refused.StatusCode == http.StatusOK && asked.Sub(cutAt) > revocationTime {
-				t.Fatalf("a key worked %s after it was taken away", asked.Sub(cutAt))
+				t.Fatalf("a key was accepted %s after it was revoked", asked.Sub(cutAt))
 			}
 			return refused.StatusCode == http.StatusServiceUnavailable
 		})
 		is.True(refused.Header.Get("Retry-After") != "")
-		is.Equal(n.ask(t, "/deep/y", "", nil).StatusCode, http.StatusOK) // a public route goes on
+		is.Equal(n.getWithKey(t, "/deep/y", "", nil).StatusCode, http.StatusOK) // public routes are served
 	}
-	k.doors[0].shut.Store(false)
+	k.proxies[0].blocked.Store(false)
 	for _, n := range []*platformNode{k.front, k.deep} {
-		eventually(t, "the news", func() bool { return n.ask(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized })
+		eventually(t, "the new policy to take effect", func() bool { return n.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode == http.StatusUnauthorized })
 	}
 }
 
-// TestAQuotaHoldsOverAllNodes: a tenant that sends far too much through both gets what its
-// quota allows, and is told when to come back.
-func TestAQuotaHoldsOverAllNodes(t *testing.T) {
+// TestQuotaHoldsAcrossNodes checks that a tenant that exceeds its quota through two nodes
+// gets no more than the quota and its permitted excess in total, and that refusals carry
+// Retry-After.
+func TestQuotaHoldsAcrossNodes(t *testing.T) {
 	const (
 		rate, burst = 2, 2
 		seconds     = 15
-		// slack and overshoot are the defaults of the settings.
+		// Default settings: requests allowed beyond the quota, absolute and as a share.
 		slack, overshoot = 20, 0.1
 	)
 	is := is.New(t)
@@ -231,7 +239,7 @@
 	served, refused := 0, 0
 	for end := time.Now().Add(seconds * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, n := range []*platformNode{k.front, k.deep} {
-			answer := n.ask(t, "/front/x", keyOfJones, nil)
+			answer := n.getWithKey(t, "/front/x", keyOfJones, nil)
 			switch answer.StatusCode {
 			case http.StatusOK:
 				served++
@@ -241,14 +249,14 @@
 			}
 		}
 	}
-	// Three windows cover the time.
+	// The test lasts three quota windows of 5 s.
 	is.True(float64(served) <= 3*((rate*5+burst)*(1+overshoot)+slack))
-	is.True(served >= rate*seconds/2) // most of what it may have
+	is.True(served >= rate*seconds/2) // at least half of the quota is served
 	is.True(refused > served)
-	is.Equal(k.front.ask(t, "/front/x", keyOfSmith, nil).StatusCode, http.StatusOK) // others are served
+	is.Equal(k.front.getWithKey(t, "/front/x", keyOfSmith, nil).StatusCode, http.StatusOK) // other tenants are served
 
-	// Operators see it from any node, without the keys.
-	shown, status := command(t, "tenants", k.deep.control)
+	// The tenants command shows the tenant from any node, without the keys.
+	shown, status := runCommand(t, "tenants", k.deep.control)
 	is.Equal(status, 0)
 	is.True(strings.Contains(shown, "jones"))
 	is.True(strings.Contains(shown, "2 processes answered"))
