--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -34,17 +34,17 @@
 
 // askWithUpstreamWork is ask for a request with upstream work.
 func (tc *testController) askWithUpstreamWork(at time.Duration, name string, priority int, left time.Duration) {
-	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left), Committed: true})
+	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left), HasUpstreamWork: true})
 }
 
 func (tc *testController) request(at time.Duration, name string, request Request) {
-	tc.tickets[name] = tc.Ask(epoch.Add(at), request, func(verdict Verdict) {
+	tc.tickets[name] = tc.Submit(epoch.Add(at), request, func(verdict Verdict) {
 		tc.verdicts = append(tc.verdicts, name+" "+verdictNames[verdict])
 	})
 }
 
 func (tc *testController) done(at time.Duration, own time.Duration) {
-	tc.Done(epoch.Add(at), &Ticket{}, Outcome{Own: own, Counted: true})
+	tc.Done(epoch.Add(at), &Ticket{}, Outcome{OwnTime: own, Counted: true})
 }
 
 const ms = time.Millisecond
@@ -160,7 +160,7 @@
 			}
 			for _, priority := range priorities {
 				now := epoch.Add(at)
-				tc.Ask(now, Request{Priority: priority, Deadline: now.Add(time.Second)}, func(verdict Verdict) {
+				tc.Submit(now, Request{Priority: priority, Deadline: now.Add(time.Second)}, func(verdict Verdict) {
 					if verdict == Admitted {
 						admitted[ClassOf(priority)]++
 					}
@@ -248,10 +248,10 @@
 	report := func(name string) func(Verdict) {
 		return func(verdict Verdict) { fmt.Println(name, verdict == Admitted) }
 	}
-	ticket := controller.Ask(now, Request{Priority: Priority(1, "first"), Deadline: deadline}, report("first"))
-	controller.Ask(now, Request{Priority: Priority(1, "second"), Deadline: deadline}, report("second"))
-	controller.Ask(now, Request{Priority: Priority(3, "payment"), Deadline: deadline}, report("payment"))
-	controller.Done(now.Add(time.Millisecond), ticket, Outcome{Own: time.Millisecond, Counted: true})
+	ticket := controller.Submit(now, Request{Priority: Priority(1, "first"), Deadline: deadline}, report("first"))
+	controller.Submit(now, Request{Priority: Priority(1, "second"), Deadline: deadline}, report("second"))
+	controller.Submit(now, Request{Priority: Priority(3, "payment"), Deadline: deadline}, report("payment"))
+	controller.Done(now.Add(time.Millisecond), ticket, Outcome{OwnTime: time.Millisecond, Counted: true})
 	// Output:
 	// first true
 	// payment true
@@ -260,8 +260,8 @@
 func BenchmarkAskAndDone(b *testing.B) {
 	controller := NewController(epoch, Config{})
 	for b.Loop() {
-		ticket := controller.Ask(epoch, Request{Priority: 500, Deadline: epoch.Add(time.Second)}, func(Verdict) {})
-		controller.Done(epoch, ticket, Outcome{Own: ms, Counted: true})
+		ticket := controller.Submit(epoch, Request{Priority: 500, Deadline: epoch.Add(time.Second)}, func(Verdict) {})
+		controller.Done(epoch, ticket, Outcome{OwnTime: ms, Counted: true})
 	}
 }
 
@@ -286,10 +286,10 @@
 	running := []*Ticket{}
 	served := map[bool]int{}
 	ask := func(now time.Time, upstreamWork bool) {
-		request := Request{Priority: 300, Deadline: now.Add(time.Second), Committed: upstreamWork}
+		request := Request{Priority: 300, Deadline: now.Add(time.Second), HasUpstreamWork: upstreamWork}
 		var ticket *Ticket
 		admitted := false
-		ticket = controller.Ask(now, request, func(verdict Verdict) {
+		ticket = controller.Submit(now, request, func(verdict Verdict) {
 			admitted = verdict == Admitted
 			if admitted && ticket != nil {
 				running = append(running, ticket)
@@ -307,8 +307,8 @@
 		if len(running) > 0 {
 			finished := running[0]
 			running = running[1:]
-			served[finished.Committed]++
-			controller.Done(now, finished, Outcome{Own: 10 * ms, Counted: true})
+			served[finished.HasUpstreamWork]++
+			controller.Done(now, finished, Outcome{OwnTime: 10 * ms, Counted: true})
 		}
 	}
 	total := served[true] + served[false]
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -49,14 +49,14 @@
 	Priority int
 	// Deadline is when the answer must be complete, zero for none.
 	Deadline time.Time
-	// Committed reports that the request has upstream work: other services have
+	// HasUpstreamWork reports that the request has upstream work: other services have
 	// already done work for the user request, which is wasted if this request is
 	// refused. It goes before requests of its class without upstream work, is not
 	// refused by the level, and may wait until its deadline.
-	Committed bool
-	// Patience is the request's own maximum queue time, 0 if unknown. It has an effect
+	HasUpstreamWork bool
+	// MaximumQueueTime is the request's own maximum queue time, 0 if unknown. It has an effect
 	// only when it exceeds Config.QueueTime and the usual time of the back end.
-	Patience time.Duration
+	MaximumQueueTime time.Duration
 }
 
 // Ticket identifies a request that asked for admission.
@@ -103,10 +103,10 @@
 	c.limit.SetBounds(minimum, maximum)
 }
 
-// Ask requests admission. notify is called at most once with the verdict, either before
-// Ask returns or later from Ask, Done or Expire. It must not block and must not call the
+// Submit requests admission. notify is called at most once with the verdict, either before
+// Submit returns or later from Submit, Done or Expire. It must not block and must not call the
 // Controller. A caller that stops waiting passes the returned Ticket to Withdraw.
-func (c *Controller) Ask(now time.Time, request Request, notify func(Verdict)) *Ticket {
+func (c *Controller) Submit(now time.Time, request Request, notify func(Verdict)) *Ticket {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.level.adjust(now, c.freeShare())
@@ -127,7 +127,7 @@
 // checkOnArrival returns the verdict on a request that is refused without queueing, and
 // Admitted for all others.
 func (c *Controller) checkOnArrival(now time.Time, ticket *Ticket) Verdict {
-	if !ticket.Committed && c.level.refuses(ticket.Priority) && !c.reservedSlotFree() {
+	if !ticket.HasUpstreamWork && c.level.refuses(ticket.Priority) && !c.reservedSlotFree() {
 		c.level.refused++
 		return BelowLevel
 	}
@@ -213,12 +213,12 @@
 
 // Outcome describes how an admitted request ended.
 type Outcome struct {
-	// Own is the back end's own time, without the time spent waiting for its calls to
+	// OwnTime is the back end's own time, without the time spent waiting for its calls to
 	// other services.
-	Own time.Duration
+	OwnTime time.Duration
 	// Refused reports that the back end refused the request as overloaded.
 	Refused bool
-	// Counted is false when Own is meaningless, for example after a broken connection.
+	// Counted is false when OwnTime is meaningless, for example after a broken connection.
 	Counted bool
 }
 
@@ -228,10 +228,10 @@
 	defer c.mutex.Unlock()
 	c.inFlight.end(&ticket.Request)
 	if outcome.Counted {
-		c.limit.Finished(now, outcome.Own, outcome.Refused)
+		c.limit.Finished(now, outcome.OwnTime, outcome.Refused)
 	}
 	if outcome.Counted && !outcome.Refused {
-		c.queueTimes.observe(outcome.Own)
+		c.queueTimes.observe(outcome.OwnTime)
 	}
 	c.dispatch(now)
 	c.level.adjust(now, c.freeShare())
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -68,9 +68,9 @@
 // Share returns the admitted share, 0 to 1.
 func (g *Gate) Share() float64 { return g.share }
 
-// Reopens returns how long the gate takes to admit everything again if the pressure ends
+// ReopensAfter returns how long the gate takes to admit everything again if the pressure ends
 // now, at least one window. A request that is refused now is admitted after that time.
-func (g *Gate) Reopens() time.Duration {
+func (g *Gate) ReopensAfter() time.Duration {
 	windows := max(math.Ceil((1-g.share)/fastRaiseStep), 1)
 	return time.Duration(windows) * gateWindow
 }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -96,18 +96,18 @@
 	}
 }
 
-// TestGateReopens checks that the gate admits everything after the time that Reopens
+// TestGateReopensAfter checks that the gate admits everything after the time that ReopensAfter
 // returns, without pressure.
-func TestGateReopens(t *testing.T) {
+func TestGateReopensAfter(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	gate := NewGate(now)
-	is.Equal(gate.Reopens(), gateWindow) // it is open
+	is.Equal(gate.ReopensAfter(), gateWindow) // it is open
 	for gate.Share() > 0.4 {
 		now = now.Add(gateWindow)
 		gate.Done(now, 10)
 	}
-	reopens := gate.Reopens()
+	reopens := gate.ReopensAfter()
 	is.True(reopens > time.Second)
 	for end := now.Add(reopens + 2*gateWindow); now.Before(end); {
 		now = now.Add(gateWindow)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -18,8 +18,8 @@
 	if classA, classB := ClassOf(a.Priority), ClassOf(b.Priority); classA != classB {
 		return classA > classB
 	}
-	if a.Committed != b.Committed {
-		return a.Committed
+	if a.HasUpstreamWork != b.HasUpstreamWork {
+		return a.HasUpstreamWork
 	}
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -65,7 +65,7 @@
 func (q *ticketQueue) withoutUpstreamWork() int {
 	count := 0
 	for _, ticket := range q.tickets {
-		if !ticket.Committed {
+		if !ticket.HasUpstreamWork {
 			count++
 		}
 	}
@@ -77,7 +77,7 @@
 func (q *ticketQueue) bestWithoutUpstreamWork() *Ticket {
 	var best *Ticket
 	for _, ticket := range q.tickets {
-		if !ticket.Committed && (best == nil || q.before(ticket, best)) {
+		if !ticket.HasUpstreamWork && (best == nil || q.before(ticket, best)) {
 			best = ticket
 		}
 	}
--- a/admission/queuetime.go
+++ b/admission/queuetime.go
@@ -17,9 +17,9 @@
 	criticalQueueFactor = 4
 )
 
-// PatienceOf returns the maximum queue time of a request with a target latency
-// (Request.Patience), 0 if target is 0.
-func PatienceOf(target time.Duration) time.Duration { return target / queueTimeDivisor }
+// MaximumQueueTime returns the maximum queue time of a request with a target latency
+// (Request.MaximumQueueTime), 0 if target is 0.
+func MaximumQueueTime(target time.Duration) time.Duration { return target / queueTimeDivisor }
 
 // queueTimes computes how long requests may wait for a slot. It relies on the usual own
 // time of the back end, since slots become free at that pace.
@@ -44,14 +44,14 @@
 
 // expiry returns when a request that is queued now stops waiting.
 func (q *queueTimes) expiry(now time.Time, request *Request) time.Time {
-	if request.Committed && !request.Deadline.IsZero() {
+	if request.HasUpstreamWork && !request.Deadline.IsZero() {
 		return request.Deadline
 	}
 	usual := q.usualOwnTime()
 	if ClassOf(request.Priority) == classes-1 {
 		usual *= criticalQueueFactor
 	}
-	return now.Add(max(q.queueTime, usual, request.Patience))
+	return now.Add(max(q.queueTime, usual, request.MaximumQueueTime))
 }
 
 // tooLate reports whether the answer to a request would miss its deadline.
--- a/admission/reserved.go
+++ b/admission/reserved.go
@@ -13,14 +13,14 @@
 
 func (f *inFlight) start(request *Request) {
 	f.total++
-	if !request.Committed {
+	if !request.HasUpstreamWork {
 		f.withoutUpstreamWork++
 	}
 }
 
 func (f *inFlight) end(request *Request) {
 	f.total--
-	if !request.Committed {
+	if !request.HasUpstreamWork {
 		f.withoutUpstreamWork--
 	}
 }
@@ -38,7 +38,7 @@
 // upstream work if a reserved slot is free and its class is not lower.
 func (q *ticketQueue) next(reservedSlotFree bool) *Ticket {
 	first := q.tickets[0]
-	if !first.Committed || !reservedSlotFree {
+	if !first.HasUpstreamWork || !reservedSlotFree {
 		return first
 	}
 	if best := q.bestWithoutUpstreamWork(); best != nil && ClassOf(best.Priority) >= ClassOf(first.Priority) {
@@ -52,7 +52,7 @@
 // reserved share.
 func (q *ticketQueue) victim(limit int) *Ticket {
 	if float64(q.withoutUpstreamWork()) <= reservedShare*float64(limit) {
-		if last := q.last(func(ticket *Ticket) bool { return ticket.Committed }); last != nil {
+		if last := q.last(func(ticket *Ticket) bool { return ticket.HasUpstreamWork }); last != nil {
 			return last
 		}
 	}
--- a/internal/emulator/backend_test.go
+++ b/internal/emulator/backend_test.go
@@ -44,16 +44,16 @@
 func (c *cluster) serve(b *backend, r *request, i int, allowance int, item *job, done func(reply)) {
 	account := retrybudget.Open(allowance)
 	level := func() int { return b.controller.State(c.Now()).Level }
-	admissionRequest := admission.Request{Priority: r.priority, Deadline: r.deadline, Committed: i > 0}
+	admissionRequest := admission.Request{Priority: r.priority, Deadline: r.deadline, HasUpstreamWork: i > 0}
 	var ticket *admission.Ticket
 	onEnd := func(response reply, ownTime time.Duration) {
-		b.controller.Done(c.Now(), ticket, admission.Outcome{Own: ownTime, Refused: response.refused, Counted: !item.cancelled})
+		b.controller.Done(c.Now(), ticket, admission.Outcome{OwnTime: ownTime, Refused: response.refused, Counted: !item.cancelled})
 		response.level = max(response.level, level())
 		response.unspent = account.Close()
 		response.refused = false // the request was admitted, so it counts as run
 		done(response)
 	}
-	ticket = b.controller.Ask(c.Now(), admissionRequest, func(verdict admission.Verdict) {
+	ticket = b.controller.Submit(c.Now(), admissionRequest, func(verdict admission.Verdict) {
 		c.After(0, func() { // the controller must not be called from its callback
 			if verdict != admission.Admitted {
 				done(reply{refused: true, final: verdict == admission.TooLate, unspent: account.Close(), level: level()})
--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -38,11 +38,11 @@
 	switch step.Do {
 	case "ask":
 		priority := admission.Priority(step.Class, step.Who)
-		r.tickets[step.Who] = r.controller.Ask(now, admission.Request{Priority: priority, Deadline: now.Add(step.Left)}, func(verdict admission.Verdict) {
+		r.tickets[step.Who] = r.controller.Submit(now, admission.Request{Priority: priority, Deadline: now.Add(step.Left)}, func(verdict admission.Verdict) {
 			r.verdicts = append(r.verdicts, step.Who+" "+verdictNames[verdict])
 		})
 	case "done":
-		r.controller.Done(now, &admission.Ticket{}, admission.Outcome{Own: step.Own, Counted: true})
+		r.controller.Done(now, &admission.Ticket{}, admission.Outcome{OwnTime: step.Own, Counted: true})
 	case "expire":
 		r.controller.Expire(now)
 	case "withdraw":
--- a/plugin/admission/occupancy_test.go
+++ b/plugin/admission/occupancy_test.go
@@ -22,7 +22,7 @@
 	}
 	is.Equal(a.occupancy(now).Load, 0.0)
 	for count, load := range []float64{0.25, 0.5, 0.75, 1, 1.25, 1.5} {
-		a.controller.Ask(now, admission.Request{Priority: admission.MaximumPriority}, func(admission.Verdict) {})
+		a.controller.Submit(now, admission.Request{Priority: admission.MaximumPriority}, func(admission.Verdict) {})
 		if got := a.occupancy(now).Load; got != load {
 			t.Errorf("load with %d requests = %.2f, want %.2f", count+1, got, load)
 		}
@@ -51,7 +51,7 @@
 				controller: admission.NewController(now, admission.Config{MinimumLimit: 4, MaximumLimit: 4}),
 			}
 			for range 2 {
-				a.controller.Ask(now, admission.Request{}, func(admission.Verdict) {})
+				a.controller.Submit(now, admission.Request{}, func(admission.Verdict) {})
 			}
 			a.process.BackEndLoad.Store(&kernel.ReportedLoad{BackEndLoad: wire.BackEndLoad{Running: c.running, Slots: 4}, At: now.Add(-c.age)})
 			is.Equal(a.occupancy(now).Load, c.want)
--- a/plugin/admission/slot.go
+++ b/plugin/admission/slot.go
@@ -24,7 +24,7 @@
 	s.once.Do(func() {
 		now := time.Now()
 		serviceTime := now.Sub(s.started) - s.call.Execution.Waited(now)
-		s.admitter.controller.Done(now, s.ticket, admission.Outcome{Own: max(serviceTime, 0), Refused: refused, Counted: counted})
+		s.admitter.controller.Done(now, s.ticket, admission.Outcome{OwnTime: max(serviceTime, 0), Refused: refused, Counted: counted})
 	})
 }
 
--- a/plugin/admission/wait.go
+++ b/plugin/admission/wait.go
@@ -56,11 +56,11 @@
 	request := admission.Request{
 		Priority: call.Priority,
 		// The controller works by the monotonic clock of time.Now, unlike call.Deadline.
-		Deadline:  time.Now().Add(call.Deadline.Left()),
-		Committed: call.Committed(),
-		Patience:  admission.PatienceOf(call.Policy.TargetLatency),
+		Deadline:         time.Now().Add(call.Deadline.Left()),
+		HasUpstreamWork:  call.Committed(),
+		MaximumQueueTime: admission.MaximumQueueTime(call.Policy.TargetLatency),
 	}
-	ticket := a.controller.Ask(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
+	ticket := a.controller.Submit(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
 	select {
 	case verdict := <-verdicts:
 		return ticket, verdictError(verdict)
@@ -75,7 +75,7 @@
 func (a *admitter) waitQueued(call *kernel.Call, ticket *admission.Ticket, verdicts <-chan admission.Verdict) (*admission.Ticket, error) {
 	timer := time.NewTimer(call.Policy.QueueTime)
 	defer timer.Stop()
-	if ticket.Committed {
+	if ticket.HasUpstreamWork {
 		timer.Stop()
 	}
 	for {
@@ -92,7 +92,7 @@
 }
 
 // expireInterval is the time between two calls of Expire for a request that waits longer than
-// the queue time of its policy (admission.Request.Patience).
+// the queue time of its policy (admission.Request.MaximumQueueTime).
 const expireInterval = 10 * time.Millisecond
 
 // withdraw removes a request from the queue. If the request was admitted at the same moment, it
--- a/plugin/shed/gates.go
+++ b/plugin/shed/gates.go
@@ -75,7 +75,7 @@
 	route := g.route(call, now)
 	route.maximumTimeout = max(route.maximumTimeout, call.Patience)
 	admitted = route.gate.Admit(now, admission.Rank(route.maximumTimeout-call.Patience, rand.Float64()))
-	call.RoomAfter = route.gate.Reopens()
+	call.RoomAfter = route.gate.ReopensAfter()
 	return route.gate.Share(), admitted
 }
 
