--- a/balance/balance.go
+++ b/balance/balance.go
@@ -109,8 +109,8 @@
 	return len(b.list)
 }
 
-// Need describes a call that needs a node.
-type Need struct {
+// Requirements describes a call that needs a node.
+type Requirements struct {
 	// Path is the call path whose admission levels apply.
 	Path string
 	// Priority of the user request.
@@ -118,21 +118,21 @@
 	// Exclude lists the IDs of nodes that must not be selected, because the call was
 	// already sent to them.
 	Exclude []string
-	// Once reports that the call must not be repeated, so that a lost answer can't be
+	// NotRepeatable reports that the call must not be repeated, so that a lost answer can't be
 	// recovered. Such a call goes to the nodes with the lowest share of failed calls.
-	Once bool
+	NotRepeatable bool
 }
 
 // Pick selects a node for a call and counts the call as in flight there. It returns false
 // if there is no node. Each successful Pick must be followed by one Done.
-func (b *Balancer) Pick(now time.Time, need Need) (Target, bool) {
+func (b *Balancer) Pick(now time.Time, need Requirements) (Target, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	candidates := b.candidates(now, need)
 	if len(candidates) == 0 {
 		return Target{}, false
 	}
-	if need.Once {
+	if need.NotRepeatable {
 		candidates = b.reliable(now, candidates)
 	}
 	chosen := b.cheapest(now, b.zoneCandidates(now, candidates))
@@ -193,7 +193,7 @@
 
 // candidates returns the first group of nodes that is not empty: those that admit the
 // priority, available ones (neither suspect nor ejected), those that are not leaving, all.
-func (b *Balancer) candidates(now time.Time, need Need) []*nodeState {
+func (b *Balancer) candidates(now time.Time, need Requirements) []*nodeState {
 	var admitting, available, staying, all []*nodeState
 	for _, candidate := range b.list {
 		if slices.Contains(need.Exclude, candidate.target.ID) {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -26,7 +26,7 @@
 func countPicks(b *Balancer, now time.Time, priority, calls int) map[string]int {
 	counts := map[string]int{}
 	for range calls {
-		target, ok := b.Pick(now, Need{Path: "path", Priority: priority})
+		target, ok := b.Pick(now, Requirements{Path: "path", Priority: priority})
 		if !ok {
 			continue
 		}
@@ -47,12 +47,12 @@
 			func(is *is.I, c map[string]int) { is.True(c["a"] > 300 && c["b"] > 300) }},
 		{"avoids a node with calls in flight", func(b *Balancer) {
 			for range 20 {
-				b.Pick(later, Need{Path: "path", Exclude: []string{"b"}})
+				b.Pick(later, Requirements{Path: "path", Exclude: []string{"b"}})
 			}
 		}, func(is *is.I, c map[string]int) { is.True(c["b"] > 700) }},
 		{"avoids an ejected node", func(b *Balancer) {
 			for range 4 {
-				b.Pick(later, Need{Path: "path", Exclude: []string{"b"}})
+				b.Pick(later, Requirements{Path: "path", Exclude: []string{"b"}})
 				b.Done(later, "a", 0, Failed)
 			}
 		}, func(is *is.I, c map[string]int) { is.Equal(c["b"], 1000) }},
@@ -60,7 +60,7 @@
 			func(is *is.I, c map[string]int) { is.Equal(c["b"], 1000) }},
 		{"caller that gives up does not eject the node", func(b *Balancer) {
 			for range 9 {
-				b.Pick(later, Need{Path: "path", Exclude: []string{"b"}})
+				b.Pick(later, Requirements{Path: "path", Exclude: []string{"b"}})
 				b.Done(later, "a", 0, Unknown)
 			}
 		}, func(is *is.I, c map[string]int) { is.True(c["a"] > 300) }},
@@ -96,7 +96,7 @@
 				clear(counts)
 				for range calls {
 					now = now.Add(time.Millisecond)
-					target, found := b.Pick(now, Need{Path: "path"})
+					target, found := b.Pick(now, Requirements{Path: "path"})
 					is.True(found)
 					counts[target.ID]++
 					outcome := Answered
@@ -151,7 +151,7 @@
 	counts := map[string]int{}
 	for range 1000 {
 		now = now.Add(time.Millisecond)
-		target, _ := b.Pick(now, Need{Path: "path"})
+		target, _ := b.Pick(now, Requirements{Path: "path"})
 		counts[target.ID]++
 		latency := 300 * time.Millisecond
 		if target.ID == "farther" {
@@ -191,12 +191,12 @@
 	is := is.New(t)
 	b := newBalancer("a")
 	for range 4 {
-		_, ok := b.Pick(epoch, Need{Path: "path"})
+		_, ok := b.Pick(epoch, Requirements{Path: "path"})
 		is.True(ok)
 		b.Done(epoch, "a", 0, Failed)
 	}
 	is.Equal(b.Level(epoch, "path"), 0)
-	_, ok := b.Pick(epoch, Need{Path: "path"})
+	_, ok := b.Pick(epoch, Requirements{Path: "path"})
 	is.True(ok) // an ejected node is tried if no other is left
 	b.Done(epoch, "a", time.Millisecond, Answered)
 	is.Equal(countPicks(b, epoch, 0, 10)["a"], 10)
@@ -217,7 +217,7 @@
 func BenchmarkPick(b *testing.B) {
 	balancer := newBalancer("a", "b", "c", "d")
 	for b.Loop() {
-		target, _ := balancer.Pick(epoch, Need{Path: "path"})
+		target, _ := balancer.Pick(epoch, Requirements{Path: "path"})
 		balancer.Done(epoch, target.ID, time.Millisecond, Answered)
 	}
 }
@@ -226,7 +226,7 @@
 	now := time.Unix(0, 0)
 	balancer := New(Config{Region: "north", Zone: "north-1"})
 	balancer.Update(now, []Target{{ID: "node", Address: "127.0.0.1:7000", Region: "north", Zone: "north-1"}})
-	target, found := balancer.Pick(now, Need{Path: "sales GET /", Priority: 512})
+	target, found := balancer.Pick(now, Requirements{Path: "sales GET /", Priority: 512})
 	fmt.Println(target.Address, found)
 	balancer.Done(now, target.ID, 3*time.Millisecond, Answered)
 	// Output: 127.0.0.1:7000 true
--- a/balance/cost_test.go
+++ b/balance/cost_test.go
@@ -19,7 +19,7 @@
 				clear(counts)
 				for range calls {
 					now = now.Add(time.Millisecond)
-					target, found := b.Pick(now, Need{Path: "path"})
+					target, found := b.Pick(now, Requirements{Path: "path"})
 					is.True(found)
 					counts[target.ID]++
 					if slow && target.ID == "slow" {
@@ -49,7 +49,7 @@
 	now, refused := epoch.Add(time.Minute), 0
 	for range 1000 {
 		now = now.Add(5 * time.Millisecond)
-		target, found := b.Pick(now, Need{Path: "path"})
+		target, found := b.Pick(now, Requirements{Path: "path"})
 		is.True(found)
 		if target.ID == "refuses" {
 			refused++
--- a/balance/decaying.go
+++ b/balance/decaying.go
@@ -26,8 +26,8 @@
 	return math.Exp2(-max(age, 0).Seconds() / halfLife.Seconds())
 }
 
-// Learn records the end of one call. counts reports whether it had the outcome.
-func (s *DecayingShare) Learn(now time.Time, halfLife time.Duration, counts bool) {
+// Observe records the end of one call. counts reports whether it had the outcome.
+func (s *DecayingShare) Observe(now time.Time, halfLife time.Duration, counts bool) {
 	observed := 0.0
 	if counts {
 		observed = 1
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -33,11 +33,11 @@
 	}
 	s.inFlight = max(s.inFlight-1, 0)
 	s.onTrial = false
-	s.refusals.Learn(now, refusalHalfLife, outcome == Refused)
+	s.refusals.Observe(now, refusalHalfLife, outcome == Refused)
 	switch outcome {
 	case Answered, Faulty:
 		b.updateLatency(now, s, latency)
-		s.faults.Learn(now, FaultHalfLife, outcome == Faulty)
+		s.faults.Observe(now, FaultHalfLife, outcome == Faulty)
 		b.resetFailures(s)
 	case Refused:
 		b.resetFailures(s)
@@ -45,7 +45,7 @@
 		b.recordMinimumLatency(now, s, latency)
 	case Failed:
 		b.recordMinimumLatency(now, s, latency)
-		s.faults.Learn(now, FaultHalfLife, true)
+		s.faults.Observe(now, FaultHalfLife, true)
 		s.failures++
 		if s.failures >= ejectAfter || s.ejections > 0 {
 			b.eject(now, s)
--- a/balance/zone_test.go
+++ b/balance/zone_test.go
@@ -49,7 +49,7 @@
 			stayed := 0
 			for i := range calls {
 				now := later.Add(time.Duration(i) * time.Millisecond)
-				target, found := b.Pick(now, Need{Path: "path"})
+				target, found := b.Pick(now, Requirements{Path: "path"})
 				is.True(found)
 				if target.Zone == "z" {
 					stayed++
@@ -88,7 +88,7 @@
 	b.Update(epoch, targets)
 	b.SetLoad(later, "0", 0.1)
 	for range 100 {
-		target, found := b.Pick(later, Need{Path: "path"})
+		target, found := b.Pick(later, Requirements{Path: "path"})
 		is.True(found)
 		is.Equal(target.Zone, "other")
 		b.Done(later, target.ID, time.Millisecond, Answered)
@@ -109,7 +109,7 @@
 			run := func(calls int, outcome Outcome) (near int) {
 				for i := range calls {
 					now = now.Add(time.Millisecond)
-					target, found := b.Pick(now, Need{Path: "path"})
+					target, found := b.Pick(now, Requirements{Path: "path"})
 					is.True(found)
 					b.SetLoad(now, target.ID, 0.3)
 					result := Answered
@@ -159,7 +159,7 @@
 	b.Done(now.Add(time.Hour), "11", time.Millisecond, Answered)
 	stayed := 0
 	for range 1000 {
-		target, found := b.Pick(now, Need{Path: "path"})
+		target, found := b.Pick(now, Requirements{Path: "path"})
 		is.True(found)
 		if target.Zone == "z" {
 			stayed++
--- a/internal/emulator/attempt_test.go
+++ b/internal/emulator/attempt_test.go
@@ -48,10 +48,10 @@
 	if level := b.Level(c.Now(), path); r.priority < level {
 		return nil, reply{refused: true, final: true, level: level}
 	}
-	target, found := b.Pick(c.Now(), balance.Need{Path: path, Priority: r.priority, Exclude: *tried})
+	target, found := b.Pick(c.Now(), balance.Requirements{Path: path, Priority: r.priority, Exclude: *tried})
 	if !found { // all were tried: allow all of them again
 		*tried = nil
-		target, found = b.Pick(c.Now(), balance.Need{Path: path, Priority: r.priority})
+		target, found = b.Pick(c.Now(), balance.Requirements{Path: path, Priority: r.priority})
 	}
 	if !found {
 		return nil, reply{refused: true, final: true}
--- a/plugin/admission/faults.go
+++ b/plugin/admission/faults.go
@@ -18,7 +18,7 @@
 func (f *faults) record(now time.Time, failed bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.share.Learn(now, balance.FaultHalfLife, failed)
+	f.share.Observe(now, balance.FaultHalfLife, failed)
 }
 
 func (f *faults) at(now time.Time) float64 {
--- a/plugin/routing/route.go
+++ b/plugin/routing/route.go
@@ -38,7 +38,7 @@
 // pick returns the node for the next attempt, one that the call has not tried yet. If all were
 // tried, it clears call.Tried and returns any node.
 func pick(now time.Time, balancer *balance.Balancer, call *kernel.Call) (balance.Target, bool) {
-	need := balance.Need{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.Tried, Once: !call.Policy.Repeatable}
+	need := balance.Requirements{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.Tried, NotRepeatable: !call.Policy.Repeatable}
 	if target, found := balancer.Pick(now, need); found {
 		return target, true
 	}
