--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -160,9 +160,9 @@
 	tried := []string{}
 	var try func()
 	try = func() {
-		allowance := account.Lend()
+		allowance := account.Delegate()
 		c.attempt(from, r, i, allowance, &tried, func(response reply) {
-			account.Repay(allowance, response.unspent)
+			account.ReturnUnused(allowance, response.unspent)
 			if response.ok || response.final || !c.Now().Before(r.deadline) || !c.takeRetry(from, service, r, response, account) {
 				done(response)
 				return
--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -75,12 +75,12 @@
 func (r *budgetRunner) step(step Step) (string, error) {
 	switch step.Do {
 	case "call": // From calls Who with an allowance.
-		r.allowances[step.Who] = r.accounts[step.From].Lend()
+		r.allowances[step.Who] = r.accounts[step.From].Delegate()
 		r.accounts[step.Who] = retrybudget.Open(r.allowances[step.Who])
 		return fmt.Sprintf("loan %d", r.allowances[step.Who]), nil
 	case "answer": // Who responds to From.
 		unspent := r.accounts[step.Who].Close()
-		r.accounts[step.From].Repay(r.allowances[step.Who], unspent)
+		r.accounts[step.From].ReturnUnused(r.allowances[step.Who], unspent)
 		return fmt.Sprintf("repaid %d", unspent), nil
 	case "lose": // The response of Who is lost.
 		r.accounts[step.Who].Close()
--- a/plugin/retry/limiter.go
+++ b/plugin/retry/limiter.go
@@ -89,9 +89,9 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	budget := l.budget(call)
-	budget.Request(now)
+	budget.RecordRequest(now)
 	if call.Repeat {
-		budget.Repeat(now)
+		budget.RecordRetry(now)
 	}
 }
 
@@ -100,7 +100,7 @@
 		return false
 	}
 	if !l.spend(call) {
-		call.Budget.Repay(1, 1)
+		call.Budget.ReturnUnused(1, 1)
 		return false
 	}
 	call.Repeat = true
--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -24,7 +24,7 @@
 		return nil, result.New(result.AnswerMismatch, "node %s answered another request", a.target.ID)
 	}
 	a.recordReport(&report)
-	a.call.Budget.Repay(a.delegated, report.Unspent)
+	a.call.Budget.ReturnUnused(a.delegated, report.Unspent)
 	if response.Header.Get(result.HeaderCode) != "" {
 		defer response.Body.Close()
 		return nil, readRefusal(response)
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -46,7 +46,7 @@
 // send sends the call and waits for the header of the answer.
 func (a *attempt) send() (*http.Response, error) {
 	a.call.Attempt = a.router.process.NewIdentity()
-	a.delegated = a.call.Budget.Lend()
+	a.delegated = a.call.Budget.Delegate()
 	header := a.header()
 	if a.call.Execution != nil {
 		a.call.Execution.BeginChild(a.started)
@@ -79,7 +79,7 @@
 // recordUnanswered records the end of an attempt that got no answer.
 func (a *attempt) recordUnanswered(err *result.Error) {
 	if err.NotRun() {
-		a.call.Budget.Repay(a.delegated, a.delegated) // the node never received them
+		a.call.Budget.ReturnUnused(a.delegated, a.delegated) // the node never received them
 	}
 	if err.Code == result.DeadlineExceeded {
 		a.call.NotePressure(admission.TimeoutPressure)
--- a/retrybudget/account.go
+++ b/retrybudget/account.go
@@ -26,10 +26,10 @@
 	return true
 }
 
-// Lend takes the retries to delegate to one downstream call and returns their number. It is
+// Delegate takes the retries to delegate to one downstream call and returns their number. It is
 // half of the remaining retries, rounded up, so that even the last call of a long chain gets
 // one, and parallel calls share the rest.
-func (a *Account) Lend() int {
+func (a *Account) Delegate() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.closed {
@@ -40,10 +40,10 @@
 	return allowance
 }
 
-// Repay puts back the unused retries of an allowance. unused is clamped to the range 0 to
+// ReturnUnused puts back the unused retries of an allowance. unused is clamped to the range 0 to
 // allowance, so that a callee cannot create retries. After Close it does nothing, and
 // retries that are returned late are lost.
-func (a *Account) Repay(allowance, unused int) {
+func (a *Account) ReturnUnused(allowance, unused int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.closed {
--- a/retrybudget/account_test.go
+++ b/retrybudget/account_test.go
@@ -28,12 +28,12 @@
 		{"negative grant counts as 0", -1, func(*Account) {}, 0},
 		{"spend", 2, func(a *Account) { a.Spend() }, 1},
 		{"spend more than the grant", 1, func(a *Account) { a.Spend(); a.Spend() }, 0},
-		{"delegate half, rounded up", 3, func(a *Account) { a.Lend() }, 1},
-		{"delegate the last one", 1, func(a *Account) { a.Lend() }, 0},
-		{"return unused", 3, func(a *Account) { a.Repay(a.Lend(), 2) }, 3},
-		{"return more than delegated", 3, func(a *Account) { a.Repay(a.Lend(), 99) }, 3},
-		{"return a negative number", 3, func(a *Account) { a.Repay(a.Lend(), -5) }, 1},
-		{"return after close", 3, func(a *Account) { l := a.Lend(); a.Close(); a.Repay(l, l) }, 0},
+		{"delegate half, rounded up", 3, func(a *Account) { a.Delegate() }, 1},
+		{"delegate the last one", 1, func(a *Account) { a.Delegate() }, 0},
+		{"return unused", 3, func(a *Account) { a.ReturnUnused(a.Delegate(), 2) }, 3},
+		{"return more than delegated", 3, func(a *Account) { a.ReturnUnused(a.Delegate(), 99) }, 3},
+		{"return a negative number", 3, func(a *Account) { a.ReturnUnused(a.Delegate(), -5) }, 1},
+		{"return after close", 3, func(a *Account) { l := a.Delegate(); a.Close(); a.ReturnUnused(l, l) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	is.Equal(account.Close(), 4)
 	is.Equal(account.Close(), 0)
 	is.True(!account.Spend())
-	is.Equal(account.Lend(), 0)
+	is.Equal(account.Delegate(), 0)
 }
 
 // graph runs a user request through a random call graph in which calls fail and answers
@@ -82,11 +82,11 @@
 // call simulates one call with retries, as a node makes it for its back end.
 func (g *graph) call(account *Account, depth int) bool {
 	for {
-		allowance := account.Lend()
+		allowance := account.Delegate()
 		unused, ok := g.run(allowance, depth)
 		answerLost := rapid.IntRange(0, 3).Draw(g.t, "lost") == 0
 		if !answerLost {
-			account.Repay(allowance, unused)
+			account.ReturnUnused(allowance, unused)
 		}
 		if ok && !answerLost {
 			return true
@@ -113,14 +113,14 @@
 // countRetries simulates the worst case, in which every call fails and no answer is lost.
 func countRetries(account *Account, depth, width int, retries *int) {
 	for {
-		allowance := account.Lend()
+		allowance := account.Delegate()
 		callee := Open(allowance)
 		if depth > 1 {
 			for range width {
 				countRetries(callee, depth-1, width, retries)
 			}
 		}
-		account.Repay(allowance, callee.Close())
+		account.ReturnUnused(allowance, callee.Close())
 		if !account.Spend() {
 			return
 		}
@@ -161,11 +161,11 @@
 
 func ExampleAccount() {
 	gateway := Open(3)
-	allowance := gateway.Lend() // sent with the call
-	callee := Open(allowance)   // in the process that serves the call
-	callee.Spend()              // one retry of a call that the callee makes
+	allowance := gateway.Delegate() // sent with the call
+	callee := Open(allowance)       // in the process that serves the call
+	callee.Spend()                  // one retry of a call that the callee makes
 	unused := callee.Close()
-	gateway.Repay(allowance, unused)
+	gateway.ReturnUnused(allowance, unused)
 	fmt.Println(allowance, unused, gateway.Left())
 	// Output: 2 1 2
 }
--- a/retrybudget/doc.go
+++ b/retrybudget/doc.go
@@ -7,8 +7,8 @@
 // without messages of its own. The process where a user request enters grants it a number
 // of retries. In each process, an Account holds the retries that may still be made on behalf
 // of the request. With each call, the process delegates some of them to the callee as an
-// allowance (Lend), with which the callee opens its own Account. The answer returns the
-// unused ones (Repay). A lost answer loses the allowance of its call.
+// allowance (Delegate), with which the callee opens its own Account. The answer returns the
+// unused ones (ReturnUnused). A lost answer loses the allowance of its call.
 //
 // At any time, the sum over all accounts, all allowances in transit and all retries made is
 // at most the grant. The sum never grows, so that the bound holds for any depth and width of
--- a/retrybudget/shared.go
+++ b/retrybudget/shared.go
@@ -62,11 +62,11 @@
 	return int64(max(now.Sub(s.started), 0) / (s.config.Window / slicesInWindow))
 }
 
-// Request records a request for the service.
-func (s *Shared) Request(now time.Time) { s.sliceAt(now).requests++ }
+// RecordRequest records a request for the service.
+func (s *Shared) RecordRequest(now time.Time) { s.sliceAt(now).requests++ }
 
-// Repeat records a retry that was made regardless of the bound.
-func (s *Shared) Repeat(now time.Time) { s.sliceAt(now).retries++ }
+// RecordRetry records a retry that was made regardless of the bound.
+func (s *Shared) RecordRetry(now time.Time) { s.sliceAt(now).retries++ }
 
 // usedRatio is the share of the ratio that is used. The rest allows for differences between
 // the windows of the processes.
@@ -96,7 +96,7 @@
 	if float64(retries+1) > max(ranked, min(allowed, 1))+roundingTolerance {
 		return false
 	}
-	s.Repeat(now)
+	s.RecordRetry(now)
 	return true
 }
 
--- a/retrybudget/shared_test.go
+++ b/retrybudget/shared_test.go
@@ -36,7 +36,7 @@
 					share = shares[i]
 				}
 				for range load {
-					share.Request(now)
+					share.RecordRequest(now)
 					requests[at]++
 				}
 				for share.Spend(now, processes, 1) {
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	share := NewShared(SharedConfig{Ratio: 0.2, Slack: 24, Window: 10 * time.Second}, sharedStart)
 	for range 100 {
-		share.Request(sharedStart)
+		share.RecordRequest(sharedStart)
 	}
 	spent := 0
 	for share.Spend(sharedStart, 12, 1) {
@@ -84,8 +84,8 @@
 	is := is.New(t)
 	share := NewShared(SharedConfig{Ratio: 1, Window: 10 * time.Second}, sharedStart)
 	for range 10 {
-		share.Request(sharedStart)
-		share.Repeat(sharedStart)
+		share.RecordRequest(sharedStart)
+		share.RecordRetry(sharedStart)
 	}
 	is.True(!share.Spend(sharedStart, 1, 1))
 	is.True(!share.Spend(sharedStart.Add(5*time.Second), 1, 1))
@@ -97,7 +97,7 @@
 	spend := func(requests int, rank float64) (spent int) {
 		share := NewShared(SharedConfig{Ratio: 1, Window: 10 * time.Second}, sharedStart)
 		for range requests {
-			share.Request(sharedStart)
+			share.RecordRequest(sharedStart)
 		}
 		for share.Spend(sharedStart, 1, rank) {
 			spent++
