--- a/plugin/retry/retrier.go
+++ b/plugin/retry/retrier.go
@@ -28,7 +28,7 @@
 	situation := retry.Situation{
 		Repeatable:      call.Policy.Repeatable,
 		Claims:          r.process.Settings.Claims,
-		Committed:       call.Committed(),
+		HasUpstreamWork: call.Committed(),
 		SharedBudget:    r.limiter.shared(),
 		MaximumArrivals: call.Policy.MaximumAttempts,
 	}
@@ -44,8 +44,8 @@
 		switch {
 		case decision.Send && (!decision.Paid || r.limiter.takeRetry(call)):
 		case decision.Pause:
-			kernel.Pause(call.Context, retry.AbsencePause)
-			situation.Offers, situation.Absent, call.Tried = 0, false, nil
+			kernel.Pause(call.Context, retry.UnavailablePause)
+			situation.Offers, situation.Unavailable, call.Tried = 0, false, nil
 		default:
 			recordPressure(call, err)
 			return answer, markRan(err, mayHaveRun)
@@ -69,7 +69,7 @@
 		return
 	}
 	s.Err = result.From(err)
-	s.Absent = s.Absent || s.Err.Code.Conclusion().Absent
+	s.Unavailable = s.Unavailable || s.Err.Code.Conclusion().Absent
 }
 
 // recordPressure records pressure for a call whose last attempt the back end refused.
--- a/plugin/retry/retry_test.go
+++ b/plugin/retry/retry_test.go
@@ -114,7 +114,7 @@
 		{"upstream work", 1, time.Minute, result.NodeRefused, true},
 		{"no node known", 1, time.Minute, result.NoNode, true},
 		{"no upstream work", 0, time.Minute, result.NodeRefused, false},
-		{"no time for a pause", 1, retry.AbsencePause, result.NodeRefused, false},
+		{"no time for a pause", 1, retry.UnavailablePause, result.NodeRefused, false},
 		{"all nodes full", 1, time.Minute, result.Overloaded, false},
 	}
 	for _, c := range cases {
--- a/plugin/routing/routing_test.go
+++ b/plugin/routing/routing_test.go
@@ -56,7 +56,7 @@
 	}
 	r, _ := newRouter(addresses...)
 	r.process.Settings.RetryBudget.Window = settings.Duration(10 * time.Second)
-	ctx, cancel := context.WithTimeout(t.Context(), retry.LeastTimeout+200*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), retry.MinimumTimeout+200*time.Millisecond)
 	defer cancel()
 	call := newCall(ctx)
 	call.Budget = retrybudget.Open(8)
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -23,9 +23,9 @@
 	// MaximumOffers bounds the nodes that a call is offered to in one round when refused
 	// offers are free, so that a call to an overloaded service does not try every node.
 	MaximumOffers = 3
-	// AbsencePause is the time between two rounds of offers of a call while nodes are
+	// UnavailablePause is the time between two rounds of offers of a call while nodes are
 	// absent, for example while they restart.
-	AbsencePause = 50 * time.Millisecond
+	UnavailablePause = 50 * time.Millisecond
 	// MinimumTimeElsewhere is the time until the deadline that must be left to try another
 	// node after one whose back end was too slow for the time left. Calls of a few hops
 	// spend some milliseconds in transit alone.
@@ -44,9 +44,9 @@
 	// Claims reports that a request which must not run twice is claimed by its key, so that
 	// another attempt gets the answer of the first one.
 	Claims bool
-	// Committed reports that the call has upstream work: other services have already done
+	// HasUpstreamWork reports that the call has upstream work: other services have already done
 	// work for the user request, which is wasted if the call fails.
-	Committed bool
+	HasUpstreamWork bool
 	// Sendable reports that the body can be sent again and the caller is still waiting.
 	Sendable bool
 	// Left is the time until the deadline of the call.
@@ -59,9 +59,9 @@
 	SharedBudget bool
 	// Offers is the number of attempts in this round, including the one that ended.
 	Offers int
-	// Absent reports that a node was absent in this round, in this attempt or an earlier
+	// Unavailable reports that a node was absent in this round, in this attempt or an earlier
 	// one.
-	Absent bool
+	Unavailable bool
 	// Arrivals is the number of earlier attempts that may have arrived at a back end.
 	Arrivals int
 	// MaximumArrivals is the maximum number of attempts of this call that may arrive at a
@@ -78,7 +78,7 @@
 	// Arrived reports that the attempt counts as one that arrived at a back end.
 	Arrived bool
 	// Pause reports that a call which is not sent at once begins a new round of offers
-	// after AbsencePause.
+	// after UnavailablePause.
 	Pause bool
 }
 
@@ -166,6 +166,6 @@
 // from the budgets.
 func mayPause(s Situation) bool {
 	notTaken := s.Err != nil && s.Err.NotRun() && !s.Err.Code.Conclusion().ByBackEnd
-	return notTaken && s.Absent && s.SharedBudget && s.Committed && s.Sendable &&
-		s.Left > AbsencePause+MinimumTimeElsewhere
+	return notTaken && s.Unavailable && s.SharedBudget && s.HasUpstreamWork && s.Sendable &&
+		s.Left > UnavailablePause+MinimumTimeElsewhere
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -14,8 +14,8 @@
 // after its first attempt ended with code.
 func situationAfter(code result.Code) Situation {
 	return Situation{
-		Err: result.New(code, "test"), Repeatable: true, Committed: true, Sendable: true,
-		Left: time.Minute, SharedBudget: true, Offers: 1, Absent: code.Conclusion().Absent,
+		Err: result.New(code, "test"), Repeatable: true, HasUpstreamWork: true, Sendable: true,
+		Left: time.Minute, SharedBudget: true, Offers: 1, Unavailable: code.Conclusion().Absent,
 	}
 }
 
@@ -40,16 +40,16 @@
 		{"absent node", result.NodeRefused, func(*Situation) {}, freeOrPause},
 		{"last offer after an absent node", result.NodeRefused, func(s *Situation) { s.Offers = MaximumOffers }, pause},
 		{"no node known", result.NoNode, func(*Situation) {}, pause},
-		{"no time for a pause", result.NoNode, func(s *Situation) { s.Left = AbsencePause + MinimumTimeElsewhere }, final},
-		{"no upstream work", result.NoNode, func(s *Situation) { s.Committed = false }, final},
+		{"no time for a pause", result.NoNode, func(s *Situation) { s.Left = UnavailablePause + MinimumTimeElsewhere }, final},
+		{"no upstream work", result.NoNode, func(s *Situation) { s.HasUpstreamWork = false }, final},
 		{"offer without shared budget is a retry", result.Overloaded, func(s *Situation) { s.SharedBudget = false }, paid},
 		{"no pause without shared budget", result.NoNode, func(s *Situation) { s.SharedBudget = false }, final},
 		{"refused upstream", result.ShedEarly, func(*Situation) {}, final},
 		{"faster node may serve it", result.DeadlineTooShort, func(*Situation) {}, free},
 		{"no time left for a faster node", result.DeadlineTooShort, func(s *Situation) { s.Left = MinimumTimeElsewhere }, final},
 		{"refused by the back end", result.BackendRefused, func(*Situation) {}, arrivedPaid},
-		{"refused by the back end after an absent node", result.BackendRefused, func(s *Situation) { s.Absent = true }, arrivedPaid},
-		{"refused by the back end at the last offer after an absent node", result.BackendRefused, func(s *Situation) { s.Absent, s.Offers = true, MaximumOffers }, final},
+		{"refused by the back end after an absent node", result.BackendRefused, func(s *Situation) { s.Unavailable = true }, arrivedPaid},
+		{"refused by the back end at the last offer after an absent node", result.BackendRefused, func(s *Situation) { s.Unavailable, s.Offers = true, MaximumOffers }, final},
 		{"no attempt of the route left", result.BackendRefused, func(s *Situation) { s.MaximumArrivals = 1 }, Decision{Arrived: true}},
 		{"one attempt of the route left", result.BackendRefused, func(s *Situation) { s.MaximumArrivals, s.Arrivals = 3, 1 }, arrivedPaid},
 		{"may have run, repeatable", result.ConnectionLost, func(*Situation) {}, arrivedPaid},
--- a/retry/timeout.go
+++ b/retry/timeout.go
@@ -6,8 +6,8 @@
 	// timeoutLatencies multiplies the usual latency of a node to get the timeout of an
 	// attempt.
 	timeoutLatencies = 8
-	// LeastTimeout is the minimum timeout of a request that may run twice.
-	LeastTimeout = 500 * time.Millisecond
+	// MinimumTimeout is the minimum timeout of a request that may run twice.
+	MinimumTimeout = 500 * time.Millisecond
 	// minimumClaimedTimeout is the minimum timeout of a request that must not run twice. It
 	// is longer because the request keeps running at its node; the next attempt would find
 	// its claim and wait for the same answer.
@@ -40,7 +40,7 @@
 	if a.SharedBudget || !a.Retriable {
 		return 0, false
 	}
-	minimum := LeastTimeout
+	minimum := MinimumTimeout
 	if !a.Repeatable {
 		minimum = minimumClaimedTimeout
 	}
--- a/retry/timeout_test.go
+++ b/retry/timeout_test.go
@@ -15,8 +15,8 @@
 		limit   time.Duration
 		bounded bool
 	}{
-		{"node with unknown latency", Attempt{Repeatable: true, Retriable: true, Left: minute}, LeastTimeout, true},
-		{"fast node", Attempt{Repeatable: true, Retriable: true, Latency: time.Millisecond, Left: minute}, LeastTimeout, true},
+		{"node with unknown latency", Attempt{Repeatable: true, Retriable: true, Left: minute}, MinimumTimeout, true},
+		{"fast node", Attempt{Repeatable: true, Retriable: true, Latency: time.Millisecond, Left: minute}, MinimumTimeout, true},
 		{"slow node", Attempt{Repeatable: true, Retriable: true, Latency: time.Second, Left: minute}, 8 * time.Second, true},
 		{"little time left", Attempt{Repeatable: true, Retriable: true, Left: time.Millisecond}, time.Millisecond, true},
 		{"claimed", Attempt{Retriable: true, Left: minute}, minimumClaimedTimeout, true},
