--- a/plugin/quota/report.go
+++ b/plugin/quota/report.go
@@ -60,7 +60,7 @@
 	case isFirst:
 		return firstReportInterval
 	case l.reportAgain:
-		return quota.AgainTime
+		return quota.ReportAgainDelay
 	default:
 		return l.config.Interval
 	}
@@ -89,7 +89,7 @@
 	l.mutex.Lock()
 	changed := l.ledger.ReportAnswered(sentAt, answer)
 	l.mutex.Unlock()
-	l.reportAgain = answer.Again
+	l.reportAgain = answer.ReportAgain
 	l.logAnswer(coordinator, changed)
 	return true
 }
--- a/plugin/quota/setup.go
+++ b/plugin/quota/setup.go
@@ -35,7 +35,7 @@
 		process:   process,
 		config:    config,
 		client:    process.NewControlClient(idleTimeout),
-		ledger:    quota.NewLedger(config, rand.Uint64()),
+		ledger:    quota.NewLimiter(config, rand.Uint64()),
 		totals:    quota.NewCoordinator(config),
 		grace:     quota.NewGracePeriod(config.Window),
 		wake:      make(chan struct{}, 1),
@@ -82,7 +82,7 @@
 
 	// Guards ledger and totals.
 	mutex  sync.Mutex
-	ledger *quota.Ledger
+	ledger *quota.Limiter
 	// Used while this process is the coordinator.
 	totals *quota.Coordinator
 
--- a/quota/coordinator.go
+++ b/quota/coordinator.go
@@ -76,7 +76,7 @@
 			c.throttled[used.Tenant] = tenant
 		}
 	}
-	return Answer{Shares: c.shares(now, reportingShare), Again: settling}
+	return Answer{Shares: c.shares(now, reportingShare), ReportAgain: settling}
 }
 
 // settling reports whether the Coordinator is too new to judge. While few processes have
--- a/quota/decision.go
+++ b/quota/decision.go
@@ -30,7 +30,7 @@
 )
 
 // Admit decides on a request of a tenant and counts it.
-func (l *Ledger) Admit(now time.Time, tenant string) Decision {
+func (l *Limiter) Admit(now time.Time, tenant string) Decision {
 	a, hasQuota := l.accounts[tenant]
 	if !hasQuota {
 		return Decision{Admitted: true, Basis: Unbounded}
@@ -53,7 +53,7 @@
 //
 // The equal share is a token bucket with 1/processes of the quota's rate and burst. Under a
 // coordinator's share, one request in 1/share is admitted.
-func (l *Ledger) decide(now time.Time, a *account) Decision {
+func (l *Limiter) decide(now time.Time, a *account) Decision {
 	a.equalShare.fill(now, l.equalRate(a), l.equalCapacity(a)) // kept filled while it is not in use
 	if l.mustUseEqualShare(now, a) {
 		l.beginEqualShare(a)
@@ -86,7 +86,7 @@
 
 // mustUseEqualShare reports whether the coordinator's answer no longer applies: the last
 // report failed, the last answer is too old, or too many requests were admitted since.
-func (l *Ledger) mustUseEqualShare(now time.Time, a *account) bool {
+func (l *Limiter) mustUseEqualShare(now time.Time, a *account) bool {
 	unanswered := a.unreported >= unansweredReports*l.reportThreshold(a)
 	return l.failed || l.CutOff(now) || unanswered
 }
@@ -94,7 +94,7 @@
 // beginEqualShare limits the requests that a process admits at once when it falls back to its
 // equal share: to its part of the burst and of fallbackTolerance. For a small tenant this is
 // less than one request, so a random number decides whether the process admits one.
-func (l *Ledger) beginEqualShare(a *account) {
+func (l *Limiter) beginEqualShare(a *account) {
 	if a.usesEqualShare {
 		return
 	}
@@ -104,14 +104,14 @@
 }
 
 // equalRate returns the rate of the equal share, in requests per second.
-func (l *Ledger) equalRate(a *account) float64 { return a.quota.Rate / l.processes }
+func (l *Limiter) equalRate(a *account) float64 { return a.quota.Rate / l.processes }
 
 // equalCapacity returns the burst of the equal share plus one request, since the share of a
 // small tenant is less than one.
-func (l *Ledger) equalCapacity(a *account) float64 { return a.quota.Burst/l.processes + 1 }
+func (l *Limiter) equalCapacity(a *account) float64 { return a.quota.Burst/l.processes + 1 }
 
 // reportThreshold returns the number of unreported requests at which a process reports ahead
 // of time. If every process admits that many, the tolerance is used up.
-func (l *Ledger) reportThreshold(a *account) int {
+func (l *Limiter) reportThreshold(a *account) int {
 	return max(int(l.config.tolerance(a.quota)/l.processes), minimumReportThreshold)
 }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,6 +1,6 @@
 // Package quota enforces the request quotas of tenants across all processes of a mesh.
 //
-// Each process has a Ledger, which admits or refuses the requests that enter the mesh at that
+// Each process has a Limiter, which admits or refuses the requests that enter the mesh at that
 // process and counts them. One process is the coordinator and runs a Coordinator: every
 // process reports to it the requests that it admitted and was offered, and receives the
 // tenants that are near their quota and the share of their requests to admit. Any process can
--- a/quota/ledger.go
+++ b/quota/limiter.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ledger admits or refuses the requests that tenants make at one process. It is not safe for
+// Limiter admits or refuses the requests that tenants make at one process. It is not safe for
 // concurrent use.
-type Ledger struct {
+type Limiter struct {
 	config Config
 	seed   uint64
 	// Number of processes that share the quotas.
@@ -43,14 +43,14 @@
 	recent         tally
 }
 
-// NewLedger returns a Ledger of a process whose reports have not been answered yet. The seed
+// NewLimiter returns a Limiter of a process whose reports have not been answered yet. The seed
 // of its random choices must differ between processes.
-func NewLedger(config Config, seed uint64) *Ledger {
-	return &Ledger{config: config, seed: seed, processes: 1, accounts: map[string]*account{}}
+func NewLimiter(config Config, seed uint64) *Limiter {
+	return &Limiter{config: config, seed: seed, processes: 1, accounts: map[string]*account{}}
 }
 
 // SetQuotas replaces the quotas by those of a policy. Tenants without a quota are not listed.
-func (l *Ledger) SetQuotas(now time.Time, quotas map[string]Quota) {
+func (l *Limiter) SetQuotas(now time.Time, quotas map[string]Quota) {
 	for tenant := range l.accounts {
 		if _, exists := quotas[tenant]; !exists {
 			delete(l.accounts, tenant)
@@ -70,10 +70,10 @@
 
 // SetProcesses sets the number of processes that share the quotas. Too high a number is safe:
 // less is admitted. Too low a number lets tenants exceed their quotas.
-func (l *Ledger) SetProcesses(processes int) { l.processes = float64(max(processes, 1)) }
+func (l *Limiter) SetProcesses(processes int) { l.processes = float64(max(processes, 1)) }
 
 // Refund uncounts an admitted request that did not run.
-func (l *Ledger) Refund(tenant string) {
+func (l *Limiter) Refund(tenant string) {
 	// A request that was already reported is not refunded; the rate of the quota makes up for it.
 	if a, hasQuota := l.accounts[tenant]; hasQuota && a.unreported > 0 {
 		a.unreported--
@@ -82,17 +82,17 @@
 
 // AwaitsFirstAnswer reports whether no report has been answered yet, as in a process that
 // has just started.
-func (l *Ledger) AwaitsFirstAnswer() bool { return l.lastAnswered.IsZero() }
+func (l *Limiter) AwaitsFirstAnswer() bool { return l.lastAnswered.IsZero() }
 
 // CutOff reports whether the last answer is so old, or missing, that a coordinator considers
 // this process silent.
-func (l *Ledger) CutOff(now time.Time) bool {
+func (l *Limiter) CutOff(now time.Time) bool {
 	return l.lastAnswered.IsZero() || now.Sub(l.lastAnswered) > l.config.silenceTimeout()
 }
 
 // BeginReport returns the next report. ReportAnswered or ReportFailed must be called before
 // the next BeginReport.
-func (l *Ledger) BeginReport(process string) Report {
+func (l *Limiter) BeginReport(process string) Report {
 	report := Report{Process: process, UsesEqualShares: l.failed}
 	l.reporting = map[string]Usage{}
 	for tenant, a := range l.accounts {
@@ -109,9 +109,9 @@
 // ReportAnswered completes the report in flight. sent is the time at which it was sent.
 // changed holds the tenants whose throttling begins, and those whose throttling ends, with a
 // share of 1.
-func (l *Ledger) ReportAnswered(sent time.Time, answer Answer) (changed []Share) {
+func (l *Limiter) ReportAnswered(sent time.Time, answer Answer) (changed []Share) {
 	l.failed = false
-	if !answer.Again || !l.lastAnswered.IsZero() {
+	if !answer.ReportAgain || !l.lastAnswered.IsZero() {
 		// A process that has just started uses its equal shares until the coordinator has
 		// settled: after a mass failure, no process knows which tenants are near their quota.
 		l.lastAnswered = sent
@@ -121,7 +121,7 @@
 }
 
 // subtractReported removes the contents of an answered report from the counters.
-func (l *Ledger) subtractReported() {
+func (l *Limiter) subtractReported() {
 	for tenant, usage := range l.reporting {
 		if a, hasQuota := l.accounts[tenant]; hasQuota {
 			a.unreported = max(a.unreported-usage.Admitted, 0)
@@ -133,7 +133,7 @@
 
 // setShares applies the shares of an answer and returns those by which the throttling of a
 // tenant begins or ends.
-func (l *Ledger) setShares(shares []Share) (changed []Share) {
+func (l *Limiter) setShares(shares []Share) (changed []Share) {
 	admits := make(map[string]float64, len(shares))
 	for _, share := range shares {
 		admits[share.Tenant] = share.Admit
@@ -154,4 +154,4 @@
 
 // ReportFailed ends a report that was not answered. Its contents are reported again. If the
 // report did arrive, they count twice, and slightly more requests than necessary are refused.
-func (l *Ledger) ReportFailed() { l.reporting, l.failed = nil, true }
+func (l *Limiter) ReportFailed() { l.reporting, l.failed = nil, true }
--- a/quota/mesh_test.go
+++ b/quota/mesh_test.go
@@ -63,7 +63,7 @@
 
 // member is one process of a simulation.
 type member struct {
-	ledger      *Ledger
+	limiter     *Limiter
 	coordinator *Coordinator
 	// Time of the next report.
 	nextReport time.Duration
@@ -87,12 +87,12 @@
 	result := outcome{admitted: map[string][]time.Duration{}, offered: map[string][]time.Duration{}}
 	members := make([]*member, s.processes)
 	start := func(i int, at time.Duration) {
-		ledger, coordinator := NewLedger(s.config, random.Uint64()), NewCoordinator(s.config)
-		ledger.SetProcesses(s.processes)
+		limiter, coordinator := NewLimiter(s.config, random.Uint64()), NewCoordinator(s.config)
+		limiter.SetProcesses(s.processes)
 		coordinator.SetProcesses(s.processes)
-		ledger.SetQuotas(startTime.Add(at), s.tenants)
+		limiter.SetQuotas(startTime.Add(at), s.tenants)
 		coordinator.SetQuotas(s.tenants)
-		members[i] = &member{ledger: ledger, coordinator: coordinator, avoidedUntil: map[int]time.Duration{},
+		members[i] = &member{limiter: limiter, coordinator: coordinator, avoidedUntil: map[int]time.Duration{},
 			nextReport: at + time.Duration(random.Int64N(int64(s.config.Interval)))}
 	}
 	for i := range members {
@@ -122,7 +122,7 @@
 				if s.stopsAfter > 0 && m.isPartitioned && at-m.partitionedSince > s.stopsAfter {
 					continue
 				}
-				decision := m.ledger.Admit(now, tenant)
+				decision := m.limiter.Admit(now, tenant)
 				if decision.Admitted {
 					result.admitted[tenant] = append(result.admitted[tenant], at)
 				}
@@ -196,7 +196,7 @@
 		coordinator++
 	}
 	receiver := members[coordinator]
-	report := m.ledger.BeginReport(fmt.Sprint(self))
+	report := m.limiter.BeginReport(fmt.Sprint(self))
 	result.reports++
 	reportArrives := coordinator == self || (!receiver.down && !receiver.paused && !m.isPartitioned && !receiver.isPartitioned)
 	answerArrives := reportArrives && (coordinator == self || (!m.losesInbound && !receiver.losesInbound))
@@ -210,17 +210,17 @@
 	if !answerArrives {
 		m.busyUntil = at + answerTimeout
 		m.pending = func(time.Time) {
-			m.ledger.ReportFailed()
+			m.limiter.ReportFailed()
 			m.avoidedUntil[coordinator] = at + time.Second
 			m.nextReport = at + answerTimeout
 		}
 		return
 	}
 	m.busyUntil = at + time.Duration(random.Int64N(int64(s.delay)+1))
-	if answer.Again {
-		m.nextReport = at + AgainTime
+	if answer.ReportAgain {
+		m.nextReport = at + ReportAgainDelay
 	}
-	m.pending = func(time.Time) { m.ledger.ReportAnswered(startTime.Add(at), answer) }
+	m.pending = func(time.Time) { m.limiter.ReportAnswered(startTime.Add(at), answer) }
 }
 
 const answerTimeout = 200 * time.Millisecond
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -104,13 +104,13 @@
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for name, disableSafeguard := range map[string]func(*member){
 		"use the last answer without an age limit": func(m *member) {
-			m.ledger.lastAnswered, m.ledger.failed = startTime.Add(time.Hour), false
-			for _, a := range m.ledger.accounts {
+			m.limiter.lastAnswered, m.limiter.failed = startTime.Add(time.Hour), false
+			for _, a := range m.limiter.accounts {
 				a.unreported = 0
 			}
 		},
 		"distribute the shares of all processes": func(m *member) { m.coordinator.SetProcesses(1) },
-		"equal share is the whole quota":         func(m *member) { m.ledger.SetProcesses(1) },
+		"equal share is the whole quota":         func(m *member) { m.limiter.SetProcesses(1) },
 		"never throttle a tenant":                func(m *member) { clear(m.coordinator.throttled) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -225,26 +225,26 @@
 // TestLowerQuotaTakesEffect: a lower quota applies within one window, a higher one at once.
 func TestLowerQuotaTakesEffect(t *testing.T) {
 	is := is.New(t)
-	ledger, coordinator := NewLedger(testConfig, 1), NewCoordinator(testConfig)
+	limiter, coordinator := NewLimiter(testConfig, 1), NewCoordinator(testConfig)
 	setQuota := func(now time.Time, quota Quota) {
-		ledger.SetQuotas(now, map[string]Quota{"t": quota})
+		limiter.SetQuotas(now, map[string]Quota{"t": quota})
 		coordinator.SetQuotas(map[string]Quota{"t": quota})
 	}
 	now := startTime
 	runOneSecond := func() (admitted int) { // offers 100 requests
 		for range 10 {
 			for range 10 {
-				if ledger.Admit(now, "t").Admitted {
+				if limiter.Admit(now, "t").Admitted {
 					admitted++
 				}
 			}
 			now = now.Add(100 * time.Millisecond)
-			ledger.ReportAnswered(now, coordinator.Receive(now, ledger.BeginReport("p")))
+			limiter.ReportAnswered(now, coordinator.Receive(now, limiter.BeginReport("p")))
 		}
 		return admitted
 	}
 	setQuota(now, Quota{Rate: 200, Burst: 200})
-	ledger.ReportAnswered(now, coordinator.Receive(now, ledger.BeginReport("p")))
+	limiter.ReportAnswered(now, coordinator.Receive(now, limiter.BeginReport("p")))
 	for range 5 {
 		is.Equal(runOneSecond(), 100)
 	}
@@ -260,40 +260,40 @@
 
 func TestRefund(t *testing.T) {
 	is := is.New(t)
-	ledger := NewLedger(testConfig, 1)
-	ledger.SetQuotas(startTime, map[string]Quota{"t": {Rate: 1, Burst: 1}})
-	ledger.Admit(startTime, "t")
-	ledger.Refund("t")
-	ledger.Refund("t")     // more refunds than admitted requests
-	ledger.Refund("other") // without a quota
-	report := ledger.BeginReport("p")
+	limiter := NewLimiter(testConfig, 1)
+	limiter.SetQuotas(startTime, map[string]Quota{"t": {Rate: 1, Burst: 1}})
+	limiter.Admit(startTime, "t")
+	limiter.Refund("t")
+	limiter.Refund("t")     // more refunds than admitted requests
+	limiter.Refund("other") // without a quota
+	report := limiter.BeginReport("p")
 	is.Equal(report.Usage, []Usage{{Tenant: "t", Admitted: 0, Offered: 1}})
-	is.Equal(ledger.Admit(startTime, "other"), Decision{Admitted: true, Basis: Unbounded})
+	is.Equal(limiter.Admit(startTime, "other"), Decision{Admitted: true, Basis: Unbounded})
 }
 
 func TestStatesCoverLastWindow(t *testing.T) {
 	is := is.New(t)
-	ledger := NewLedger(testConfig, 1) // without a coordinator
-	ledger.SetQuotas(startTime, map[string]Quota{"b": {Rate: 1, Burst: 2}, "a": {Rate: 1}})
+	limiter := NewLimiter(testConfig, 1) // without a coordinator
+	limiter.SetQuotas(startTime, map[string]Quota{"b": {Rate: 1, Burst: 2}, "a": {Rate: 1}})
 	for range 5 {
-		ledger.Admit(startTime, "b")
+		limiter.Admit(startTime, "b")
 	}
-	states := ledger.States(startTime.Add(time.Second))
+	states := limiter.States(startTime.Add(time.Second))
 	is.Equal(states[0].Tenant, "a")
 	is.Equal(states[1].Admitted+states[1].Refused, 5)
 	is.True(states[1].Admitted <= 3) // the burst, plus one request
-	states = ledger.States(startTime.Add(2 * testConfig.Window))
+	states = limiter.States(startTime.Add(2 * testConfig.Window))
 	is.Equal(states[1].Admitted+states[1].Refused, 0)
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	ledger := NewLedger(testConfig, 1)
-	ledger.SetProcesses(82)
-	ledger.SetQuotas(startTime, testTenants)
-	ledger.ReportAnswered(startTime, Answer{})
+	limiter := NewLimiter(testConfig, 1)
+	limiter.SetProcesses(82)
+	limiter.SetQuotas(startTime, testTenants)
+	limiter.ReportAnswered(startTime, Answer{})
 	b.ReportAllocs()
 	for b.Loop() {
-		ledger.Admit(startTime, "large")
-		ledger.Refund("large")
+		limiter.Admit(startTime, "large")
+		limiter.Refund("large")
 	}
 }
--- a/quota/report.go
+++ b/quota/report.go
@@ -32,9 +32,9 @@
 // of other tenants are admitted.
 type Answer struct {
 	Shares []Share `json:"shares,omitempty"`
-	// Again asks for the next report after AgainTime, since the coordinator is new.
-	Again bool `json:"again,omitempty"`
+	// ReportAgain asks for the next report after ReportAgainDelay, since the coordinator is new.
+	ReportAgain bool `json:"again,omitempty"`
 }
 
-// AgainTime is the time after which a process reports again if the answer asked for it.
-const AgainTime = 100 * time.Millisecond
+// ReportAgainDelay is the time after which a process reports again if the answer asked for it.
+const ReportAgainDelay = 100 * time.Millisecond
--- a/quota/state.go
+++ b/quota/state.go
@@ -20,7 +20,7 @@
 }
 
 // States returns the state of all tenants with a quota, sorted by name.
-func (l *Ledger) States(now time.Time) []State {
+func (l *Limiter) States(now time.Time) []State {
 	states := make([]State, 0, len(l.accounts))
 	for tenant, a := range l.accounts {
 		admitted, refused := a.recent.sum(now, l.config.Window)
