--- a/plugin/quarantine/crashcheck.go
+++ b/plugin/quarantine/crashcheck.go
@@ -137,7 +137,7 @@
 	}
 	p.process.Log.Emit(event.BackendCrashed, "backend", p.process.Settings.Backend, "instance", instance, "found", evidence,
 		"suspects", len(suspects), "signatures", suspects)
-	crashes := []quarantine.Crash{{ID: instance, Suspects: suspects}}
+	crashes := []quarantine.CrashReport{{ID: instance, Suspects: suspects}}
 	if p.mergeReports(clock.Now().Time(), crashes, p.process.ID) {
 		go p.broadcast(crashes)
 	}
--- a/plugin/quarantine/crashes.go
+++ b/plugin/quarantine/crashes.go
@@ -18,7 +18,7 @@
 
 // mergeReports merges reported crashes into the ledger and returns whether any of them was new.
 // from is the reporting process or "store", for the log.
-func (p *plugin) mergeReports(now time.Time, crashes []quarantine.Crash, from string) (isNew bool) {
+func (p *plugin) mergeReports(now time.Time, crashes []quarantine.CrashReport, from string) (isNew bool) {
 	quarantined := []quarantine.Signature{}
 	own := false
 	p.mutex.Lock()
@@ -59,7 +59,7 @@
 // that to all processes.
 func (p *plugin) clearSuspicion(signature quarantine.Signature) {
 	p.mutex.Lock()
-	cleared := p.ledger.Answered(clock.Now().Time(), signature)
+	cleared := p.ledger.ClearSuspicion(clock.Now().Time(), signature)
 	p.updateHasSuspects()
 	p.mutex.Unlock()
 	if len(cleared) == 0 {
--- a/plugin/quarantine/peers.go
+++ b/plugin/quarantine/peers.go
@@ -31,7 +31,7 @@
 
 // broadcast reports crashes to all processes, those of the own service first, since their
 // back ends are the next to run the request.
-func (p *plugin) broadcast(crashes []quarantine.Crash) {
+func (p *plugin) broadcast(crashes []quarantine.CrashReport) {
 	message := wire.Crashes{From: p.process.ID, Crashes: crashes}
 	limit := make(chan struct{}, maximumConcurrentReports)
 	pending := sync.WaitGroup{}
--- a/plugin/quarantine/setup.go
+++ b/plugin/quarantine/setup.go
@@ -70,7 +70,7 @@
 	mutex  sync.Mutex
 	ledger *quarantine.Ledger
 	// Requests without a complete answer, by incarnation.
-	unanswered quarantine.LostRequests
+	unanswered quarantine.UnansweredRequests
 	check      crashCheck
 	// The incarnation that crashed last at this node.
 	lastCrashed string
--- a/plugin/quarantine/setup_test.go
+++ b/plugin/quarantine/setup_test.go
@@ -36,8 +36,8 @@
 }
 
 // newCrash returns a crash with one request in flight.
-func newCrash(id string, call *kernel.Call) quarantine.Crash {
-	return quarantine.Crash{ID: id, Suspects: []quarantine.Signature{call.Signature()}}
+func newCrash(id string, call *kernel.Call) quarantine.CrashReport {
+	return quarantine.CrashReport{ID: id, Suspects: []quarantine.Signature{call.Signature()}}
 }
 
 // TestQuarantineStoredAfterReportedCrash guards against a quarantined request that is missing
@@ -46,16 +46,16 @@
 func TestQuarantineStoredAfterReportedCrash(t *testing.T) {
 	is := is.New(t)
 	p, call := newPlugin(), newCall("/x", "mine")
-	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("first", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("first", call)}, "peer")
 	is.Equal(p.recordFailure(call, result.New(result.ConnectionLost, "broken")).(*result.Error).Code, result.ConnectionLost)
 	p.recordCrash("mine", "replaced")
 	is.Equal(len(p.saveDue), 0) // Only two crashes are known.
-	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("theirs", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("theirs", call)}, "peer")
 	is.Equal(len(p.saveDue), 1)
 
 	// A node whose back end did not crash under the request writes nothing.
 	bystander := newPlugin()
-	bystander.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", call), newCrash("b", call), newCrash("c", call)}, "peer")
+	bystander.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("a", call), newCrash("b", call), newCrash("c", call)}, "peer")
 	is.Equal(len(bystander.saveDue), 0)
 }
 
@@ -80,9 +80,9 @@
 
 	// The attempt that may have caused the third crash gets a result that is not retried.
 	failure = result.New(result.ConnectionLost, "broken")
-	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("a", call)}, "peer")
 	is.Equal(codeOf(call), result.ConnectionLost)
-	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("b", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("b", call)}, "peer")
 	is.Equal(codeOf(call), result.CrashSuspected)
 	is.True(!result.From(failure).NotRun())
 
@@ -98,7 +98,7 @@
 	// Another request is admitted, and its complete answer clears the suspicion against it.
 	failure = nil
 	other := newCall("/y", "mine")
-	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", other), newCrash("b", other)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("a", other), newCrash("b", other)}, "peer")
 	answer, err := handler.Handle(other)
 	is.NoErr(err)
 	is.Equal(len(p.ledger.SuspectedOf(other.Signature())), 2) // The answer has not been read yet.
@@ -152,7 +152,7 @@
 func TestDigestIncludesClearedRequests(t *testing.T) {
 	is := is.New(t)
 	p, call := newPlugin(), newCall("/x", "mine")
-	p.mergeReports(clock.Now().Time(), []quarantine.Crash{newCrash("a", call)}, "peer")
+	p.mergeReports(clock.Now().Time(), []quarantine.CrashReport{newCrash("a", call)}, "peer")
 	before := p.Digest()
 	p.clearSuspicion(call.Signature())
 	is.True(!p.hasSuspects.Load())
--- a/plugin/quarantine/stored.go
+++ b/plugin/quarantine/stored.go
@@ -114,7 +114,7 @@
 
 // withoutAges sets the ages of crashes to zero in place, since it is unknown how long they
 // will have been in the store when they are read.
-func withoutAges(crashes []quarantine.Crash) []quarantine.Crash {
+func withoutAges(crashes []quarantine.CrashReport) []quarantine.CrashReport {
 	for i := range crashes {
 		crashes[i].Age = 0
 	}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -6,7 +6,7 @@
 // requests in flight there. No single process can detect this: each attempt has a different
 // id and may enter the mesh anywhere.
 //
-// A request is identified by its Signature. Beside each back end, LostRequests records the
+// A request is identified by its Signature. Beside each back end, UnansweredRequests records the
 // requests that ended without an answer; they are the suspects if the back end turns out to
 // have crashed. Processes report crashes to each other, and each merges the reports into a
 // Ledger. A request suspected of enough crashes is quarantined: it is refused for some time,
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -71,7 +71,7 @@
 // Report merges the report of a crash. It returns whether the report adds or clears any
 // request, and the requests that are quarantined because of it. A report without an id, with a
 // negative age or with an age of Keep or more is ignored.
-func (l *Ledger) Report(now time.Time, reported Crash) (isNew bool, quarantined []Signature) {
+func (l *Ledger) Report(now time.Time, reported CrashReport) (isNew bool, quarantined []Signature) {
 	age := time.Duration(reported.Age) * time.Millisecond
 	if reported.ID == "" || age < 0 || age >= l.config.Keep {
 		return false, nil
@@ -97,7 +97,7 @@
 
 // addInFlight adds the suspects of a report to the requests of a crash. It returns whether any
 // of them is new, and those that are quarantined because of it.
-func (l *Ledger) addInFlight(known *crash, reported Crash) (added bool, quarantined []Signature) {
+func (l *Ledger) addInFlight(known *crash, reported CrashReport) (added bool, quarantined []Signature) {
 	cleared := make(map[Signature]bool, len(reported.Cleared))
 	for _, signature := range reported.Cleared {
 		cleared[signature] = true
@@ -160,14 +160,14 @@
 	}
 }
 
-// Answered clears a request that a back end has answered of all known crashes. It returns
+// ClearSuspicion clears a request that a back end has answered of all known crashes. It returns
 // reports of the crashes that the request was suspected of, to be sent to other processes.
-func (l *Ledger) Answered(now time.Time, signature Signature) []Crash {
-	cleared := []Crash{}
+func (l *Ledger) ClearSuspicion(now time.Time, signature Signature) []CrashReport {
+	cleared := []CrashReport{}
 	for _, id := range l.SuspectedOf(signature) {
 		cause := l.crashes[id]
 		l.clear(cause, signature)
-		cleared = append(cleared, Crash{
+		cleared = append(cleared, CrashReport{
 			ID:       id,
 			Age:      cause.age(now),
 			Suspects: []Signature{signature},
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -12,8 +12,8 @@
 const second = time.Second
 
 // crashOf returns the report of a crash with the given requests in flight.
-func crashOf(id string, requests ...string) Crash {
-	report := Crash{ID: id}
+func crashOf(id string, requests ...string) CrashReport {
+	report := CrashReport{ID: id}
 	for _, request := range requests {
 		report.Suspects = append(report.Suspects, signatureOf(request))
 	}
@@ -35,20 +35,20 @@
 func TestQuarantineThreshold(t *testing.T) {
 	cases := []struct {
 		name    string
-		crashes []Crash
+		crashes []CrashReport
 		refused []string
 		free    []string
 	}{
 		{"no crash", nil, nil, []string{"x"}},
-		{"two crashes", []Crash{crashOf("a", "x"), crashOf("b", "x")}, nil, []string{"x"}},
-		{"three crashes", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "x")}, []string{"x"}, nil},
+		{"two crashes", []CrashReport{crashOf("a", "x"), crashOf("b", "x")}, nil, []string{"x"}},
+		{"three crashes", []CrashReport{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "x")}, []string{"x"}, nil},
 		{"others in flight in one or two of the crashes",
-			[]Crash{crashOf("a", "x", "y"), crashOf("b", "x", "y", "z"), crashOf("c", "z", "x")}, []string{"x"}, []string{"y", "z"}},
-		{"crash reported twice", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("b", "x"), crashOf("a", "x")}, nil, []string{"x"}},
-		{"suspects reported later", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "y"), crashOf("c", "x")}, []string{"x"}, []string{"y"}},
-		{"crash without an id", []Crash{crashOf("a", "x"), crashOf("b", "x"), crashOf("", "x")}, nil, []string{"x"}},
-		{"crash in the future", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: -1, Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
-		{"crash older than Keep", []Crash{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: defaultKeep.Milliseconds(), Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
+			[]CrashReport{crashOf("a", "x", "y"), crashOf("b", "x", "y", "z"), crashOf("c", "z", "x")}, []string{"x"}, []string{"y", "z"}},
+		{"crash reported twice", []CrashReport{crashOf("a", "x"), crashOf("b", "x"), crashOf("b", "x"), crashOf("a", "x")}, nil, []string{"x"}},
+		{"suspects reported later", []CrashReport{crashOf("a", "x"), crashOf("b", "x"), crashOf("c", "y"), crashOf("c", "x")}, []string{"x"}, []string{"y"}},
+		{"crash without an id", []CrashReport{crashOf("a", "x"), crashOf("b", "x"), crashOf("", "x")}, nil, []string{"x"}},
+		{"crash in the future", []CrashReport{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: -1, Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
+		{"crash older than Keep", []CrashReport{crashOf("a", "x"), crashOf("b", "x"), {ID: "c", Age: defaultKeep.Milliseconds(), Suspects: crashOf("", "x").Suspects}}, nil, []string{"x"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 	ledger := NewLedger(Config{})
 	ledger.Report(start, crashOf("a", "x", "y"))
 	ledger.Report(start, crashOf("b", "x"))
-	cleared := ledger.Answered(start, signatureOf("x"))
+	cleared := ledger.ClearSuspicion(start, signatureOf("x"))
 	is.Equal(len(cleared), 2)
 	is.Equal(crashCount(ledger, signatureOf("x")), 0)
 	is.Equal(crashCount(ledger, signatureOf("y")), 1) // not answered
@@ -154,7 +154,7 @@
 	ledger.EndTrial(signatureOf("x"))
 	verdict, _ = ledger.Decide(later, signatureOf("x"), always)
 	is.Equal(verdict, Trial)
-	ledger.Answered(later, signatureOf("x"))
+	ledger.ClearSuspicion(later, signatureOf("x"))
 	verdict, _ = ledger.Decide(later, signatureOf("x"), never)
 	is.Equal(verdict, Admit)
 }
@@ -174,7 +174,7 @@
 	is := is.New(t)
 	ledger := NewLedger(Config{})
 	for i := range 3 * maximumCrashes {
-		report := Crash{ID: fmt.Sprint(i)}
+		report := CrashReport{ID: fmt.Sprint(i)}
 		for j := range 2 * maximumSuspectsPerCrash {
 			report.Suspects = append(report.Suspects, signatureOf(fmt.Sprint(i, j)))
 		}
@@ -220,7 +220,7 @@
 			at := ledgers[random.IntN(processes)]
 			switch random.IntN(4) {
 			case 0:
-				at.Answered(now, signatureOf(fmt.Sprint(random.IntN(requests))))
+				at.ClearSuspicion(now, signatureOf(fmt.Sprint(random.IntN(requests))))
 			case 1:
 				for _, report := range ledgers[random.IntN(processes)].All(now) {
 					at.Report(now, report)
--- a/quarantine/mesh_test.go
+++ b/quarantine/mesh_test.go
@@ -39,7 +39,7 @@
 	now     time.Time
 	nodes   []*meshNode
 	pending []message
-	stored  []Crash
+	stored  []CrashReport
 	// One in this many messages is lost.
 	lossDenominator int
 	// Average number of steps between two client requests that crash back ends.
@@ -70,7 +70,7 @@
 	from    int
 	to      int
 	digest  uint64
-	crashes []Crash
+	crashes []CrashReport
 	pull    bool
 }
 
@@ -136,7 +136,7 @@
 
 // handleReport merges a crash into the ledger of a node. If a request is quarantined by it
 // and has crashed the node's own back end, the node writes the crash to the store.
-func (m *mesh) handleReport(i int, report Crash) {
+func (m *mesh) handleReport(i int, report CrashReport) {
 	node := m.nodes[i]
 	_, quarantined := node.ledger.Report(m.now, report)
 	for _, signature := range quarantined {
@@ -175,18 +175,18 @@
 	m.crashes[crashing] = append(crashes, m.now)
 	node.restartsAt = m.now.Add(restartTime)
 	node.ownCrashCount++
-	report := Crash{ID: fmt.Sprint(i, ".", node.ownCrashCount), Suspects: []Signature{signatureOf(fmt.Sprint(m.random.IntN(100))), crashing}}
+	report := CrashReport{ID: fmt.Sprint(i, ".", node.ownCrashCount), Suspects: []Signature{signatureOf(fmt.Sprint(m.random.IntN(100))), crashing}}
 	node.ownCrashes = append(node.ownCrashes, report.ID)
 	m.handleReport(i, report)
 	if m.enabled.announce {
 		for peer := range m.nodes {
-			m.send(message{from: i, to: peer, crashes: []Crash{report}})
+			m.send(message{from: i, to: peer, crashes: []CrashReport{report}})
 		}
 	}
 	return retry
 }
 
-func withZeroAges(crashes []Crash) []Crash {
+func withZeroAges(crashes []CrashReport) []CrashReport {
 	for i := range crashes {
 		crashes[i].Age = 0
 	}
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Crash is the report of a crash of a back end with requests in flight. Processes send it to
+// CrashReport is the report of a crash of a back end with requests in flight. Processes send it to
 // each other and save it in the store.
-type Crash struct {
+type CrashReport struct {
 	// ID identifies the incarnation that crashed.
 	ID string `json:"id"`
 	// Age is the time since the crash, in milliseconds. A process that forwards the report
@@ -28,10 +28,10 @@
 func (c *crash) age(now time.Time) int64 { return now.Sub(c.at).Milliseconds() }
 
 // All returns the reports of all known crashes, for another process, the oldest first.
-func (l *Ledger) All(now time.Time) []Crash {
-	all := make([]Crash, 0, len(l.crashes))
+func (l *Ledger) All(now time.Time) []CrashReport {
+	all := make([]CrashReport, 0, len(l.crashes))
 	for id, known := range l.crashes {
-		report := Crash{ID: id, Age: known.age(now), Suspects: slices.Collect(maps.Keys(known.inFlight))}
+		report := CrashReport{ID: id, Age: known.age(now), Suspects: slices.Collect(maps.Keys(known.inFlight))}
 		for signature, cleared := range known.inFlight {
 			if cleared {
 				report.Cleared = append(report.Cleared, signature)
@@ -39,17 +39,17 @@
 		}
 		all = append(all, report)
 	}
-	slices.SortFunc(all, func(a, b Crash) int { return cmp.Or(cmp.Compare(b.Age, a.Age), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(all, func(a, b CrashReport) int { return cmp.Or(cmp.Compare(b.Age, a.Age), cmp.Compare(a.ID, b.ID)) })
 	return all
 }
 
 // CrashesOfQuarantined returns reports of the crashes that quarantined requests are suspected
 // of, listing only those requests. The order depends only on the contents, so that processes
 // with the same knowledge write the same bytes to the store.
-func (l *Ledger) CrashesOfQuarantined(now time.Time) []Crash {
-	reports := []Crash{}
+func (l *Ledger) CrashesOfQuarantined(now time.Time) []CrashReport {
+	reports := []CrashReport{}
 	for id, known := range l.crashes {
-		report := Crash{ID: id, Age: known.age(now)}
+		report := CrashReport{ID: id, Age: known.age(now)}
 		for signature, cleared := range known.inFlight {
 			if !cleared && l.isQuarantined(l.suspects[signature]) {
 				report.Suspects = append(report.Suspects, signature)
@@ -60,7 +60,7 @@
 			reports = append(reports, report)
 		}
 	}
-	slices.SortFunc(reports, func(a, b Crash) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(reports, func(a, b CrashReport) int { return cmp.Compare(a.ID, b.ID) })
 	return reports
 }
 
--- a/quarantine/lost.go
+++ b/quarantine/unanswered.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits of LostRequests.
+// Limits of UnansweredRequests.
 const (
 	// crashWindow is the time before the last unanswered request within which others count as
 	// in flight in the same crash. A request whose caller has given up may keep running for a
@@ -13,10 +13,10 @@
 	maximumUnanswered = 1024
 )
 
-// LostRequests records the requests that the back end of one node did not answer. They are
+// UnansweredRequests records the requests that the back end of one node did not answer. They are
 // the suspects if the back end turns out to have crashed. It is not safe for concurrent use.
 // The zero value is empty.
-type LostRequests struct {
+type UnansweredRequests struct {
 	// Incarnation that the requests were sent to.
 	instance string
 	// In the order of time.
@@ -31,7 +31,7 @@
 
 // Add records that a request sent to an incarnation ended without an answer: its connection
 // broke, or its caller gave up.
-func (r *LostRequests) Add(now time.Time, instance string, signature Signature) {
+func (r *UnansweredRequests) Add(now time.Time, instance string, signature Signature) {
 	if instance != r.instance {
 		r.instance, r.unanswered = instance, nil
 	}
@@ -42,7 +42,7 @@
 }
 
 // Suspects returns the requests that were in flight when an incarnation crashed, each once.
-func (r *LostRequests) Suspects(instance string) []Signature {
+func (r *UnansweredRequests) Suspects(instance string) []Signature {
 	if instance != r.instance || len(r.unanswered) == 0 {
 		return nil
 	}
--- a/quarantine/lost_test.go
+++ b/quarantine/unanswered_test.go
@@ -13,7 +13,7 @@
 // signatureOf returns the signature of a request with the given target.
 func signatureOf(name string) Signature { return SignatureOf(Request{Target: name}) }
 
-func TestLostRequests(t *testing.T) {
+func TestUnansweredRequests(t *testing.T) {
 	type unansweredRequest struct {
 		at       time.Duration
 		instance string
@@ -35,7 +35,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			requests := LostRequests{}
+			requests := UnansweredRequests{}
 			for _, l := range c.unanswered {
 				requests.Add(start.Add(l.at), l.instance, signatureOf(l.request))
 			}
@@ -48,9 +48,9 @@
 	}
 }
 
-func TestLostRequestsAreBounded(t *testing.T) {
+func TestUnansweredRequestsAreBounded(t *testing.T) {
 	is := is.New(t)
-	requests := LostRequests{}
+	requests := UnansweredRequests{}
 	for i := range 10 * maximumUnanswered {
 		requests.Add(start, "a", signatureOf(strconv.Itoa(i)))
 	}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -64,8 +64,8 @@
 // format is kept in the store for quarantined requests.
 type Crashes struct {
 	// From is the ID of the sender, "" in the store.
-	From    string             `json:"from,omitempty"`
-	Crashes []quarantine.Crash `json:"crashes"`
+	From    string                   `json:"from,omitempty"`
+	Crashes []quarantine.CrashReport `json:"crashes"`
 }
 
 // Document is the answer on PathDocument.
