--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -199,7 +199,7 @@
 
 // spreadRunner offers policy revisions to one process.
 type spreadRunner struct {
-	holder spread.Keeper
+	holder spread.CurrentDocument
 }
 
 func newSpreadRunner(Setting) runner { return &spreadRunner{} }
--- a/plugin/configsync/documents.go
+++ b/plugin/configsync/documents.go
@@ -22,7 +22,7 @@
 	// Checks an encoded document and returns its revision.
 	revisionOf func([]byte) (uint64, error)
 	// The document in force, owned by the control loop.
-	current spread.Keeper
+	current spread.CurrentDocument
 	// Called on the control loop with each new revision.
 	subscribers []func(time.Time, []byte)
 	// Revision of current, for other goroutines.
--- a/plugin/configsync/freshness.go
+++ b/plugin/configsync/freshness.go
@@ -16,7 +16,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.freshness.Verified(at)
+	s.freshness.RecordVerified(at)
 	s.proof.Record(proven)
 }
 
@@ -28,7 +28,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.freshness.Vouched(clock.Now().Time(), time.Duration(revisions.Age)*time.Millisecond)
+	s.freshness.RecordConfirmation(clock.Now().Time(), time.Duration(revisions.Age)*time.Millisecond)
 }
 
 // age returns the estimated time since the policy was known to be the newest one, and false
@@ -47,5 +47,5 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.freshness.MustLook(clock.Now().Time(), size)
+	return s.freshness.MustReadStore(clock.Now().Time(), size)
 }
--- a/spread/freshness.go
+++ b/spread/freshness.go
@@ -19,21 +19,21 @@
 	confirmed time.Time
 }
 
-// Verified records that the store held no newer revision than the document at the given time.
-func (f *Freshness) Verified(at time.Time) {
+// RecordVerified records that the store held no newer revision than the document at the given time.
+func (f *Freshness) RecordVerified(at time.Time) {
 	if at.After(f.verified) {
 		f.verified = at
 	}
 }
 
-// Vouched records that a peer with the same document knew it to be the newest revision the
+// RecordConfirmation records that a peer with the same document knew it to be the newest revision the
 // given age ago.
-func (f *Freshness) Vouched(now time.Time, age time.Duration) {
+func (f *Freshness) RecordConfirmation(now time.Time, age time.Duration) {
 	at := now.Add(-age)
 	if at.After(f.confirmed) {
 		f.confirmed = at
 	}
-	f.Verified(at)
+	f.RecordVerified(at)
 }
 
 // Age returns the time since the document was last known to be the newest revision, and false
@@ -77,10 +77,10 @@
 // again.
 const rereadAfter = time.Second
 
-// MustLook reports whether a process that does not watch the store must read it, in a mesh of
+// MustReadStore reports whether a process that does not watch the store must read it, in a mesh of
 // the given number of processes: no confirmation is valid, and the document was not known to
 // be the newest revision within rereadAfter, for example from an earlier read.
-func (f *Freshness) MustLook(now time.Time, size int) bool {
+func (f *Freshness) MustReadStore(now time.Time, size int) bool {
 	if f.IsConfirmed(now, size) {
 		return false
 	}
--- a/spread/freshness_test.go
+++ b/spread/freshness_test.go
@@ -19,11 +19,11 @@
 		confirmed bool
 	}{
 		{"never verified", func(*Freshness) {}, 0, false, false},
-		{"read from the store", func(f *Freshness) { f.Verified(at(9)) }, time.Second, true, false},
-		{"confirmed", func(f *Freshness) { f.Vouched(at(9), time.Second) }, 2 * time.Second, true, true},
-		{"confirmed with a high age", func(f *Freshness) { f.Vouched(at(9), 5*time.Second) }, 6 * time.Second, true, false},
-		{"confirmed long ago", func(f *Freshness) { f.Vouched(at(7), 0) }, 3 * time.Second, true, false},
-		{"older confirmation after a read", func(f *Freshness) { f.Verified(at(9)); f.Vouched(at(10), 4*time.Second) }, time.Second, true, false},
+		{"read from the store", func(f *Freshness) { f.RecordVerified(at(9)) }, time.Second, true, false},
+		{"confirmed", func(f *Freshness) { f.RecordConfirmation(at(9), time.Second) }, 2 * time.Second, true, true},
+		{"confirmed with a high age", func(f *Freshness) { f.RecordConfirmation(at(9), 5*time.Second) }, 6 * time.Second, true, false},
+		{"confirmed long ago", func(f *Freshness) { f.RecordConfirmation(at(7), 0) }, 3 * time.Second, true, false},
+		{"older confirmation after a read", func(f *Freshness) { f.RecordVerified(at(9)); f.RecordConfirmation(at(10), 4*time.Second) }, time.Second, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			now := start.Add(at)
 			if at%wait == 0 {
 				for i := range watchers {
-					members[i].Verified(now)
+					members[i].RecordVerified(now)
 				}
 			}
 			for i := range members {
@@ -80,7 +80,7 @@
 			}
 			for i := watchers; i < size; i++ {
 				checks++
-				if members[i].MustLook(now, size) {
+				if members[i].MustReadStore(now, size) {
 					mustRead++
 				}
 			}
@@ -97,14 +97,14 @@
 	ageA, knownA := a.Age(now)
 	ageB, knownB := b.Age(now)
 	if knownA {
-		b.Vouched(now, ageA)
+		b.RecordConfirmation(now, ageA)
 	}
 	if knownB {
-		a.Vouched(now, ageB)
+		a.RecordConfirmation(now, ageB)
 	}
 }
 
-func TestMustLook(t *testing.T) {
+func TestMustReadStore(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	cases := []struct {
@@ -113,17 +113,17 @@
 		mustRead bool
 	}{
 		{"after the start", func(*Freshness) {}, true},
-		{"after a recent read", func(f *Freshness) { f.Verified(at(9.5)) }, false},
-		{"after an old read", func(f *Freshness) { f.Verified(at(8.5)) }, true},
-		{"confirmed", func(f *Freshness) { f.Vouched(at(9), time.Second) }, false},
-		{"confirmed too long ago", func(f *Freshness) { f.Vouched(at(5), 0) }, true},
+		{"after a recent read", func(f *Freshness) { f.RecordVerified(at(9.5)) }, false},
+		{"after an old read", func(f *Freshness) { f.RecordVerified(at(8.5)) }, true},
+		{"confirmed", func(f *Freshness) { f.RecordConfirmation(at(9), time.Second) }, false},
+		{"confirmed too long ago", func(f *Freshness) { f.RecordConfirmation(at(5), 0) }, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			freshness := &Freshness{}
 			c.apply(freshness)
-			is.Equal(freshness.MustLook(at(10), 14), c.mustRead)
+			is.Equal(freshness.MustReadStore(at(10), 14), c.mustRead)
 		})
 	}
 }
--- a/spread/proof_test.go
+++ b/spread/proof_test.go
@@ -24,7 +24,7 @@
 // proofProcess is one process with its proof and its document.
 type proofProcess struct {
 	proof       Proof
-	document    Keeper
+	document    CurrentDocument
 	frozenUntil time.Duration
 	// Time until which incoming messages are held back.
 	inboundHeldUntil time.Duration
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -10,14 +10,14 @@
 // reads no clock; plugin/configsync reads the store and exchanges messages with peers.
 package spread
 
-// Keeper holds the highest revision of one document. It is not safe for concurrent use.
-type Keeper struct {
+// CurrentDocument holds the highest revision of one document. It is not safe for concurrent use.
+type CurrentDocument struct {
 	revision uint64
 	data     []byte
 }
 
 // Offer replaces the document if the given revision is higher, and reports whether it did.
-func (k *Keeper) Offer(revision uint64, data []byte) bool {
+func (k *CurrentDocument) Offer(revision uint64, data []byte) bool {
 	if revision <= k.revision {
 		return false
 	}
@@ -26,7 +26,7 @@
 }
 
 // Revision returns the revision of the document, 0 if there is none.
-func (k *Keeper) Revision() uint64 { return k.revision }
+func (k *CurrentDocument) Revision() uint64 { return k.revision }
 
 // Data returns the document, nil if there is none. It must not be modified.
-func (k *Keeper) Data() []byte { return k.data }
+func (k *CurrentDocument) Data() []byte { return k.data }
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestKeeperAcceptsOnlyHigherRevisions(t *testing.T) {
+func TestCurrentDocumentAcceptsOnlyHigherRevisions(t *testing.T) {
 	cases := []struct {
 		offered []uint64
 		want    uint64
@@ -21,13 +21,13 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.offered), func(t *testing.T) {
 			is := is.New(t)
-			var keeper Keeper
+			var document CurrentDocument
 			for _, revision := range c.offered {
-				before := keeper.Revision()
-				is.Equal(keeper.Offer(revision, fmt.Append(nil, revision)), revision > before)
+				before := document.Revision()
+				is.Equal(document.Offer(revision, fmt.Append(nil, revision)), revision > before)
 			}
-			is.Equal(keeper.Revision(), c.want)
-			is.Equal(string(keeper.Data()), fmt.Sprint(c.want))
+			is.Equal(document.Revision(), c.want)
+			is.Equal(string(document.Data()), fmt.Sprint(c.want))
 		})
 	}
 }
@@ -57,9 +57,9 @@
 	is.True(!Watches("leaving", ids, 3)) // not in the list of live processes
 }
 
-func ExampleKeeper() {
-	var keeper Keeper
-	keeper.Offer(2, []byte("new"))
-	fmt.Println(keeper.Offer(1, []byte("old")), string(keeper.Data()))
+func ExampleCurrentDocument() {
+	var document CurrentDocument
+	document.Offer(2, []byte("new"))
+	fmt.Println(document.Offer(1, []byte("old")), string(document.Data()))
 	// Output: false new
 }
