--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -19,7 +19,7 @@
 	draining bool
 	// Call Leave instead of Observe.
 	goodbye bool
-	// Call Found instead of Observe: this incarnation answered a request for id.
+	// Call ObserveReplacement instead of Observe: this incarnation answered a request for id.
 	found string
 }
 
@@ -30,7 +30,7 @@
 		case s.goodbye:
 			tracker.Leave(now, s.id)
 		case s.found != "":
-			tracker.Found(s.id, s.found)
+			tracker.ObserveReplacement(s.id, s.found)
 		default:
 			_ = tracker.Observe(now, Report{ID: s.id, Service: "s", Slots: 4, Sequence: s.sequence, Draining: s.draining})
 		}
--- a/kernel/services.go
+++ b/kernel/services.go
@@ -55,9 +55,9 @@
 	Observe(ctx context.Context, report instance.Report) error
 	// Leave handles the announcement of an incarnation that it leaves.
 	Leave(ctx context.Context, id string) error
-	// Found reports that the incarnation actual refused a request sent to the
+	// ObserveReplacement reports that the incarnation actual refused a request sent to the
 	// incarnation expected.
-	Found(expected, actual string)
+	ObserveReplacement(expected, actual string)
 	// Unreachable reports that no connection to the back end could be opened.
 	Unreachable()
 	// State returns the current state of the back end.
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -101,7 +101,7 @@
 		return f.checkContext(call, response)
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest && f.process.BackEnd != nil {
-		f.process.BackEnd.Found(expected, response.Header.Get(dialect.Instance))
+		f.process.BackEnd.ObserveReplacement(expected, response.Header.Get(dialect.Instance))
 	}
 	return result.New(result.BackendRefused, "the back end refused with status %d", response.StatusCode).WithUsualRetryAfter()
 }
--- a/plugin/instance/backend.go
+++ b/plugin/instance/backend.go
@@ -55,9 +55,9 @@
 	})
 }
 
-func (p *plugin) Found(expected, actual string) {
+func (p *plugin) ObserveReplacement(expected, actual string) {
 	p.process.Loop.Post(func(time.Time) {
-		p.tracker.Found(expected, actual)
+		p.tracker.ObserveReplacement(expected, actual)
 		p.publish()
 	})
 }
