--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -45,13 +45,19 @@
 		want    Verdict
 	}{
 		{"a free key", func(*Replica) {}, 1, 0, Granted},
-		{"a key held by another run", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")) }, 1, 0, Held},
-		{"the same run again", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "run")) }, 1, 0, Granted},
-		{"another key held", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("other", "other")) }, 1, 0, Granted},
-		{"after the retention time", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")) }, 1, retention + 1, Granted},
-		{"shortly before the retention time", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")) }, 1, retention - 1, Held},
-		{"after a withdrawal", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")); r.Withdraw(0, NewKey("k"), "other") }, 1, 0, Granted},
-		{"after a withdrawal of another run", func(r *Replica) { r.Ask(startTime, 0, 1, claimOf("k", "other")); r.Withdraw(0, NewKey("k"), "run") }, 1, 0, Held},
+		{"a key held by another run", func(r *Replica) { r.RequestClaim(startTime, 0, 1, claimOf("k", "other")) }, 1, 0, Held},
+		{"the same run again", func(r *Replica) { r.RequestClaim(startTime, 0, 1, claimOf("k", "run")) }, 1, 0, Granted},
+		{"another key held", func(r *Replica) { r.RequestClaim(startTime, 0, 1, claimOf("other", "other")) }, 1, 0, Granted},
+		{"after the retention time", func(r *Replica) { r.RequestClaim(startTime, 0, 1, claimOf("k", "other")) }, 1, retention + 1, Granted},
+		{"shortly before the retention time", func(r *Replica) { r.RequestClaim(startTime, 0, 1, claimOf("k", "other")) }, 1, retention - 1, Held},
+		{"after a withdrawal", func(r *Replica) {
+			r.RequestClaim(startTime, 0, 1, claimOf("k", "other"))
+			r.Withdraw(0, NewKey("k"), "other")
+		}, 1, 0, Granted},
+		{"after a withdrawal of another run", func(r *Replica) {
+			r.RequestClaim(startTime, 0, 1, claimOf("k", "other"))
+			r.Withdraw(0, NewKey("k"), "run")
+		}, 1, 0, Held},
 		{"an unknown epoch", func(*Replica) {}, 2, 0, Behind},
 		{"an epoch that has ended", func(r *Replica) { r.Adopt(startTime, second) }, 1, 0, Stale},
 		{"while collecting claims", func(r *Replica) { r.Adopt(startTime, second) }, 2, 0, Syncing},
@@ -61,16 +67,16 @@
 		}, 2, 0, Granted},
 		{"a collected claim", func(r *Replica) {
 			r.Adopt(startTime, second)
-			r.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, []Transferred{{Claim: claimOf("k", "other"), Left: retention}})
+			r.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, []TransferredClaim{{Claim: claimOf("k", "other"), Remaining: retention}})
 		}, 2, 0, Held},
 		{"full", func(r *Replica) {
 			for i := range 100 {
-				r.Ask(startTime, 0, 1, claimOf(fmt.Sprint(i), "other"))
+				r.RequestClaim(startTime, 0, 1, claimOf(fmt.Sprint(i), "other"))
 			}
 		}, 1, 0, Full},
 		{"full, after the retention time", func(r *Replica) {
 			for i := range 100 {
-				r.Ask(startTime, 0, 1, claimOf(fmt.Sprint(i), "other"))
+				r.RequestClaim(startTime, 0, 1, claimOf(fmt.Sprint(i), "other"))
 			}
 		}, 1, retention + 1, Granted},
 	}
@@ -80,7 +86,7 @@
 			replica := newReplica("a")
 			replica.Adopt(startTime, first)
 			c.prepare(replica)
-			is.Equal(replica.Ask(startTime.Add(c.at), 0, c.epoch, claimOf("k", "run")).Verdict, c.want)
+			is.Equal(replica.RequestClaim(startTime.Add(c.at), 0, c.epoch, claimOf("k", "run")).Verdict, c.want)
 		})
 	}
 }
@@ -89,8 +95,8 @@
 	is := is.New(t)
 	replica := newReplica("d")
 	replica.Adopt(startTime, document(5, Group{Epoch: 3, Replicas: processes("d", "e", "f"), Reset: true}))
-	is.Equal(replica.Ask(startTime, 0, 3, claimOf("k", "run")).Verdict, Syncing)
-	is.Equal(replica.Ask(startTime.Add(retention), 0, 3, claimOf("k", "run")).Verdict, Granted)
+	is.Equal(replica.RequestClaim(startTime, 0, 3, claimOf("k", "run")).Verdict, Syncing)
+	is.Equal(replica.RequestClaim(startTime.Add(retention), 0, 3, claimOf("k", "run")).Verdict, Granted)
 }
 
 // A replica hands over claims only once it is fenced at the new epoch and if it voted at
@@ -117,23 +123,23 @@
 	is := is.New(t)
 	replica := newReplica("a")
 	replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a", "b", "c")}))
-	is.Equal(replica.Ask(startTime, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
+	is.Equal(replica.RequestClaim(startTime, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
 	replica.Adopt(startTime, document(2, Group{Epoch: 2, Replicas: processes("a", "b", "d"), Previous: processes("a", "b", "c")}))
-	replica.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, []Transferred{{Claim: claimOf("k", "winner"), Left: retention}})
+	replica.TakeOver(startTime, Fetch{From: process("b"), Epoch: 2}, []TransferredClaim{{Claim: claimOf("k", "winner"), Remaining: retention}})
 	again := claimOf("k", "again")
 	again.Abandoned = []string{"abandoned"}
-	is.Equal(replica.Ask(startTime, 0, 2, again).Verdict, Held)
+	is.Equal(replica.RequestClaim(startTime, 0, 2, again).Verdict, Held)
 }
 
 func TestAbandonedRunIsReplaced(t *testing.T) {
 	is := is.New(t)
 	replica := newReplica("a")
 	replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a")}))
-	is.Equal(replica.Ask(startTime, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
+	is.Equal(replica.RequestClaim(startTime, 0, 1, claimOf("k", "abandoned")).Verdict, Granted)
 	again := claimOf("k", "again")
 	again.Abandoned = []string{"abandoned"}
-	is.Equal(replica.Ask(startTime, 0, 1, again).Verdict, Granted)
-	is.Equal(replica.Ask(startTime, 0, 1, claimOf("k", "other")).Verdict, Held)
+	is.Equal(replica.RequestClaim(startTime, 0, 1, again).Verdict, Granted)
+	is.Equal(replica.RequestClaim(startTime, 0, 1, claimOf("k", "other")).Verdict, Held)
 }
 
 func TestOlderDocumentIsIgnored(t *testing.T) {
@@ -149,11 +155,11 @@
 	replica := NewReplica(ReplicaConfig{Self: process("a"), Retention: retention, MaximumClaims: 100, MaximumAnswerBytes: 1000})
 	replica.Adopt(startTime, document(1, Group{Epoch: 1, Replicas: processes("a")}))
 	for _, key := range []string{"one", "two"} {
-		replica.Ask(startTime, 0, 1, claimOf(key, key))
+		replica.RequestClaim(startTime, 0, 1, claimOf(key, key))
 		replica.Finish(0, NewKey(key), key, &Answer{Status: 200, Body: make([]byte, 600)})
 	}
-	is.True(replica.Ask(startTime, 0, 1, claimOf("one", "x")).Answer != nil)
-	is.True(replica.Ask(startTime, 0, 1, claimOf("two", "x")).Answer == nil) // exceeds MaximumAnswerBytes, so only the claim is held
+	is.True(replica.RequestClaim(startTime, 0, 1, claimOf("one", "x")).Answer != nil)
+	is.True(replica.RequestClaim(startTime, 0, 1, claimOf("two", "x")).Answer == nil) // exceeds MaximumAnswerBytes, so only the claim is held
 }
 
 func TestRound(t *testing.T) {
@@ -230,7 +236,7 @@
 			planner := Planner{Groups: 1, Replicas: 3, Voting: func(int) bool { return c.voting }}
 			plan := planner.Plan(c.current, c.candidates)
 			is.Equal(plan.Changed, c.changed)
-			is.Equal(plan.Lost, c.lost)
+			is.Equal(plan.WithoutMajority, c.lost)
 			group := plan.Next.Groups[0]
 			is.Equal(group.Reset, c.reset)
 			if c.changed == 0 {
@@ -257,8 +263,8 @@
 	replica := NewReplica(ReplicaConfig{Self: Process{ID: "a"}, Retention: time.Minute, MaximumClaims: 1000})
 	now := time.Now()
 	replica.Adopt(now, &Groups{Revision: 1, Groups: []Group{{Epoch: 1, Replicas: []Process{{ID: "a"}}}}})
-	first := replica.Ask(now, 0, 1, Claim{Key: NewKey("payment", "42"), Run: "first"})
-	second := replica.Ask(now, 0, 1, Claim{Key: NewKey("payment", "42"), Run: "second"})
+	first := replica.RequestClaim(now, 0, 1, Claim{Key: NewKey("payment", "42"), Run: "first"})
+	second := replica.RequestClaim(now, 0, 1, Claim{Key: NewKey("payment", "42"), Run: "second"})
 	fmt.Println(first.Verdict == Granted, second.Verdict == Held)
 	// Output: true true
 }
--- a/claims/plan.go
+++ b/claims/plan.go
@@ -25,9 +25,9 @@
 	Next *Groups
 	// Changed is the number of groups that the plan changes.
 	Changed int
-	// Lost is the number of groups that have no majority left and cannot be
+	// WithoutMajority is the number of groups that have no majority left and cannot be
 	// reset yet, because their replicas are not confirmed to have stopped.
-	Lost int
+	WithoutMajority int
 }
 
 // Planner assigns processes to groups.
@@ -60,7 +60,7 @@
 			plan.Changed++
 		}
 		if lost {
-			plan.Lost++
+			plan.WithoutMajority++
 		}
 	}
 	return plan
--- a/claims/replica.go
+++ b/claims/replica.go
@@ -201,8 +201,8 @@
 	state.lastVotedEpoch = state.votingEpoch
 }
 
-// Votes reports whether this process votes in the group at the highest epoch known.
-func (r *Replica) Votes(group int) bool {
+// IsVoter reports whether this process votes in the group at the highest epoch known.
+func (r *Replica) IsVoter(group int) bool {
 	if group >= len(r.groups) {
 		return false
 	}
@@ -219,9 +219,9 @@
 // Len returns the number of claims held.
 func (r *Replica) Len() int { return r.count }
 
-// Ask handles a claim that a runner makes at an epoch of a group. A granted claim
+// RequestClaim handles a claim that a runner makes at an epoch of a group. A granted claim
 // is held for the retention time.
-func (r *Replica) Ask(now time.Time, group int, epoch uint64, claim Claim) Reply {
+func (r *Replica) RequestClaim(now time.Time, group int, epoch uint64, claim Claim) Reply {
 	r.Expire(now)
 	if group >= len(r.groups) || r.groups[group].group.Epoch < epoch {
 		return Reply{Verdict: Behind}
--- a/claims/safety_test.go
+++ b/claims/safety_test.go
@@ -139,12 +139,12 @@
 		return
 	}
 	before := giver.groups[0].lastVotedEpoch
-	handedOver, ok := giver.GiveVote(s.now, votes[0])
+	handedOver, ok := giver.ReleaseVote(s.now, votes[0])
 	if s.broken.keepVote && ok {
 		giver.groups[0].votingEpoch, giver.groups[0].lastVotedEpoch, giver.groups[0].voteGivenEpoch = votes[0].Epoch, before, 0
 	}
 	if ok {
-		s.messages = append(s.messages, func() { taker.TakeVote(s.now, votes[0], handedOver) })
+		s.messages = append(s.messages, func() { taker.AcceptVote(s.now, votes[0], handedOver) })
 	}
 }
 
@@ -161,7 +161,7 @@
 	if s.broken.noTransfer && len(replica.groups) > 0 {
 		replica.groups[0].votingEpoch = replica.groups[0].group.Epoch
 	}
-	reply := replica.Ask(s.now, 0, r.group.Epoch, Claim{Key: NewKey("key"), Run: r.run, Runner: process("x"), Abandoned: r.abandoned})
+	reply := replica.RequestClaim(s.now, 0, r.group.Epoch, Claim{Key: NewKey("key"), Run: r.run, Runner: process("x"), Abandoned: r.abandoned})
 	if r.givenUp || r.replied[voter] || rapid.IntRange(0, 4).Draw(s.t, "reply lost") == 0 {
 		return // each vote counts once
 	}
--- a/claims/transfer.go
+++ b/claims/transfer.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Transferred is one claim that is transferred to another replica.
-type Transferred struct {
+// TransferredClaim is one claim that is transferred to another replica.
+type TransferredClaim struct {
 	Claim Claim `json:"claim"`
-	// Others lists other runs that may hold the key.
-	Others []string `json:"others,omitempty"`
-	// Left is the rest of the retention time.
-	Left   time.Duration `json:"left_ns"`
-	Answer *Answer       `json:"answer,omitempty"`
+	// OtherRuns lists other runs that may hold the key.
+	OtherRuns []string `json:"others,omitempty"`
+	// Remaining is the rest of the retention time.
+	Remaining time.Duration `json:"left_ns"`
+	Answer    *Answer       `json:"answer,omitempty"`
 }
 
 // Fetch describes a transfer of the claims of one group from a replica of the
@@ -45,7 +45,7 @@
 // HandOver returns the claims of a group for a replica of the given new epoch. It
 // reports false when this process has not adopted that epoch, and so is not fenced
 // yet, or has not voted at the previous epoch or later.
-func (r *Replica) HandOver(now time.Time, group int, epoch uint64) ([]Transferred, bool) {
+func (r *Replica) HandOver(now time.Time, group int, epoch uint64) ([]TransferredClaim, bool) {
 	if group >= len(r.groups) {
 		return nil, false
 	}
@@ -53,11 +53,11 @@
 	if state.group.Epoch < epoch || state.lastVotedEpoch < epoch-1 {
 		return nil, false
 	}
-	handedOver := make([]Transferred, 0, len(state.claims))
+	handedOver := make([]TransferredClaim, 0, len(state.claims))
 	for _, known := range state.claims {
 		remaining := known.expires.Sub(now)
 		if remaining > 0 {
-			handedOver = append(handedOver, Transferred{Claim: known.claim, Others: known.otherRuns, Left: remaining, Answer: known.answer})
+			handedOver = append(handedOver, TransferredClaim{Claim: known.claim, OtherRuns: known.otherRuns, Remaining: remaining, Answer: known.answer})
 		}
 	}
 	return handedOver, true
@@ -66,7 +66,7 @@
 // TakeOver stores the claims that a fetch returned and reports whether this process
 // now votes in the group. It ignores a fetch for another epoch, or one that returns
 // after this process started to vote, and reports false.
-func (r *Replica) TakeOver(now time.Time, fetch Fetch, handedOver []Transferred) bool {
+func (r *Replica) TakeOver(now time.Time, fetch Fetch, handedOver []TransferredClaim) bool {
 	if fetch.Group >= len(r.groups) {
 		return false
 	}
@@ -84,12 +84,12 @@
 
 // merge stores one transferred claim. When another run holds the key here, either
 // run may have won it, so both block the key.
-func (r *Replica) merge(now time.Time, state *groupState, transferred Transferred) {
-	expires := now.Add(transferred.Left)
+func (r *Replica) merge(now time.Time, state *groupState, transferred TransferredClaim) {
+	expires := now.Add(transferred.Remaining)
 	known, exists := state.claims[transferred.Claim.Key]
 	if !exists {
 		r.insert(state, transferred.Claim, expires, transferred.Answer)
-		state.claims[transferred.Claim.Key].otherRuns = transferred.Others
+		state.claims[transferred.Claim.Key].otherRuns = transferred.OtherRuns
 		return
 	}
 	known.addOtherRuns(transferred)
@@ -103,17 +103,17 @@
 }
 
 // addOtherRuns records the runs of a transferred claim that differ from h's own.
-func (h *heldClaim) addOtherRuns(transferred Transferred) {
-	for _, run := range append([]string{transferred.Claim.Run}, transferred.Others...) {
+func (h *heldClaim) addOtherRuns(transferred TransferredClaim) {
+	for _, run := range append([]string{transferred.Claim.Run}, transferred.OtherRuns...) {
 		if run != h.claim.Run && !slices.Contains(h.otherRuns, run) {
 			h.otherRuns = append(h.otherRuns, run)
 		}
 	}
 }
 
-// Forget deletes the claims of groups that this process left at least the retention
+// ExpireRetired deletes the claims of groups that this process left at least the retention
 // time ago.
-func (r *Replica) Forget(now time.Time) {
+func (r *Replica) ExpireRetired(now time.Time) {
 	for i := range r.groups {
 		state := &r.groups[i]
 		departed := !containsProcess(state.group.Replicas, r.config.Self.ID) && state.transferredFrom == ""
--- a/claims/vote.go
+++ b/claims/vote.go
@@ -29,7 +29,7 @@
 func (r *Replica) HeldVotes() []Vote {
 	votes := []Vote{}
 	for i := range r.groups {
-		if r.Votes(i) {
+		if r.IsVoter(i) {
 			votes = append(votes, Vote{Group: i, Epoch: r.groups[i].group.Epoch, Replica: r.voterID(&r.groups[i])})
 		}
 	}
@@ -49,15 +49,15 @@
 	return votes
 }
 
-// GiveVote gives up a vote and returns the claims for the process that takes it over. It
+// ReleaseVote gives up a vote and returns the claims for the process that takes it over. It
 // reports false when this process does not hold the vote. The caller must pass the result
 // to a single successor.
-func (r *Replica) GiveVote(now time.Time, vote Vote) ([]Transferred, bool) {
+func (r *Replica) ReleaseVote(now time.Time, vote Vote) ([]TransferredClaim, bool) {
 	if vote.Group >= len(r.groups) {
 		return nil, false
 	}
 	state := &r.groups[vote.Group]
-	if !r.Votes(vote.Group) || state.group.Epoch != vote.Epoch || r.voterID(state) != vote.Replica {
+	if !r.IsVoter(vote.Group) || state.group.Epoch != vote.Epoch || r.voterID(state) != vote.Replica {
 		return nil, false
 	}
 	handedOver, _ := r.HandOver(now, vote.Group, vote.Epoch) // cannot fail: this process votes at the epoch
@@ -67,9 +67,9 @@
 	return handedOver, true
 }
 
-// TakeVote takes over a vote with its claims and reports whether this process holds it now.
+// AcceptVote takes over a vote with its claims and reports whether this process holds it now.
 // A process that is itself a replica of the group, or holds another vote in it, refuses.
-func (r *Replica) TakeVote(now time.Time, vote Vote, handedOver []Transferred) bool {
+func (r *Replica) AcceptVote(now time.Time, vote Vote, handedOver []TransferredClaim) bool {
 	if vote.Group >= len(r.groups) {
 		return false
 	}
--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -133,7 +133,7 @@
 	switch step.Do {
 	case "ask": // Run asks replica Who for the claim at epoch Count.
 		claim := claims.Claim{Key: claims.NewKey(step.Key), Run: step.Run}
-		return claimVerdicts[replica.Ask(now, 0, uint64(step.Count), claim).Verdict], nil
+		return claimVerdicts[replica.RequestClaim(now, 0, uint64(step.Count), claim).Verdict], nil
 	case "withdraw":
 		replica.Withdraw(0, claims.NewKey(step.Key), step.Run)
 		return "done", nil
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -114,7 +114,7 @@
 	return kernel.Ask(ctx, o.process.Loop, func(time.Time) wire.ClaimStatus {
 		status := wire.ClaimStatus{Revision: o.replica.Revision()}
 		for i := range o.replica.Groups() {
-			if o.replica.Votes(i) {
+			if o.replica.IsVoter(i) {
 				status.Voting = append(status.Voting, i)
 			}
 		}
--- a/plugin/once/planner.go
+++ b/plugin/once/planner.go
@@ -64,11 +64,11 @@
 	candidates := o.candidates(members)
 	plan := o.planner().Plan(o.groups.Load(), candidates)
 	if plan.Changed == 0 {
-		return plan.Lost, nil
+		return plan.WithoutMajority, nil
 	}
 	lease, acquired, err := o.process.Store.AcquireLease(ctx, planLeaseName, o.self.ID, planLeaseTime)
 	if err != nil || !acquired {
-		return plan.Lost, err
+		return plan.WithoutMajority, err
 	}
 	// A lease that can't be released expires after planLeaseTime.
 	defer func() { _ = lease.Release(context.WithoutCancel(ctx)) }()
@@ -98,18 +98,18 @@
 	}
 	plan := planner.Plan(current, candidates)
 	if plan.Changed == 0 {
-		return plan.Lost, o.offerStored(ctx, entry)
+		return plan.WithoutMajority, o.offerStored(ctx, entry)
 	}
 	data, err := plan.Next.Encode()
 	if err != nil {
-		return plan.Lost, err
+		return plan.WithoutMajority, err
 	}
 	wrote, err := o.process.Store.CompareAndSwap(ctx, claims.StoreKey, data, entry.Index)
 	if err != nil || !wrote {
-		return plan.Lost, err // The next plan reads the store again.
+		return plan.WithoutMajority, err // The next plan reads the store again.
 	}
 	o.process.Log.Emit(event.ClaimGroupPlanned, "revision", plan.Next.Revision, "changed", plan.Changed)
-	return plan.Lost, o.process.Documents.Offer(ctx, wire.DocumentGroups, data)
+	return plan.WithoutMajority, o.process.Documents.Offer(ctx, wire.DocumentGroups, data)
 }
 
 // offerStored offers the document in the store to this process, which may have an older one.
--- a/plugin/once/replicas.go
+++ b/plugin/once/replicas.go
@@ -61,7 +61,7 @@
 // askOwnReplica requests a claim from the replica of this process.
 func (o *once) askOwnReplica(ctx context.Context, request wire.ClaimRequest) (claims.Reply, error) {
 	return kernel.Ask(ctx, o.process.Loop, func(now time.Time) claims.Reply {
-		return o.replica.Ask(now, request.Group, request.Epoch, request.Claim)
+		return o.replica.RequestClaim(now, request.Group, request.Epoch, request.Claim)
 	})
 }
 
--- a/plugin/once/setup.go
+++ b/plugin/once/setup.go
@@ -84,7 +84,7 @@
 // housekeeping removes expired claims and runs. It runs on the control loop.
 func (o *once) housekeeping(now time.Time) {
 	o.replica.Expire(now)
-	o.replica.Forget(now)
+	o.replica.ExpireRetired(now)
 	o.held.Store(int64(o.replica.Len()))
 	o.runs.expire(now)
 }
--- a/plugin/once/votes.go
+++ b/plugin/once/votes.go
@@ -111,7 +111,7 @@
 // processes must not hold the same vote.
 func (o *once) handOverVote(ctx context.Context, vote claims.Vote, successors []claims.Process, document []byte) {
 	request, err := kernel.Ask(ctx, o.process.Loop, func(now time.Time) *wire.VoteTransfer {
-		handed, ok := o.replica.GiveVote(now, vote)
+		handed, ok := o.replica.ReleaseVote(now, vote)
 		if !ok {
 			return nil
 		}
@@ -142,7 +142,7 @@
 		return
 	}
 	reply, err := kernel.Ask(r.Context(), o.process.Loop, func(now time.Time) wire.VoteTransferReply {
-		taken := o.replica.TakeVote(now, request.Vote, request.Claims)
+		taken := o.replica.AcceptVote(now, request.Vote, request.Claims)
 		o.announceVotes()
 		return wire.VoteTransferReply{OK: taken}
 	})
--- a/wire/claims.go
+++ b/wire/claims.go
@@ -48,16 +48,16 @@
 // HandOverReply is the answer to a HandOverRequest. OK is false if the replica cannot serve
 // the request.
 type HandOverReply struct {
-	OK     bool                 `json:"ok"`
-	Claims []claims.Transferred `json:"claims"`
+	OK     bool                      `json:"ok"`
+	Claims []claims.TransferredClaim `json:"claims"`
 }
 
 // VoteTransfer transfers the vote of a replica, with its claims, to another process.
 type VoteTransfer struct {
 	// Vote has the key "seat" on the wire.
-	Vote     claims.Vote          `json:"seat"`
-	Claims   []claims.Transferred `json:"claims"`
-	Document []byte               `json:"document"` // see HandOverRequest
+	Vote     claims.Vote               `json:"seat"`
+	Claims   []claims.TransferredClaim `json:"claims"`
+	Document []byte                    `json:"document"` // see HandOverRequest
 }
 
 // VoteTransferReply is the answer to a VoteTransfer. OK is false if the process refuses the
