--- a/plugin/tenant/authenticate.go
+++ b/plugin/tenant/authenticate.go
@@ -64,7 +64,7 @@
 	}
 	call.Tenant = tenant.Name
 	a.writeTenant(call.Header, tenant.Name)
-	if tenants.Ranked() {
+	if tenants.ClassesDiffer() {
 		call.Priority = rankedPriority(call, tenant)
 	}
 	return nil
--- a/policy/tenant.go
+++ b/policy/tenant.go
@@ -123,9 +123,9 @@
 	return *a == *b
 }
 
-// Ranked reports whether tenants differ in class. If they do not, requests are ordered by
+// ClassesDiffer reports whether tenants differ in class. If they do not, requests are ordered by
 // the class of the route alone.
-func (t *TenantTable) Ranked() bool { return t.classesDiffer }
+func (t *TenantTable) ClassesDiffer() bool { return t.classesDiffer }
 
 // Required reports whether callers must present a key on routes that are not public.
 func (t *TenantTable) Required() bool { return t.required }
