--- a/membership/digest.go
+++ b/membership/digest.go
@@ -34,7 +34,7 @@
 	var buffer [128]byte
 	text := append(buffer[:0], member.ID...)
 	text = append(text, ' ')
-	text = strconv.AppendUint(text, member.Version, 10)
+	text = strconv.AppendUint(text, member.Incarnation, 10)
 	text = append(text, ' ')
 	text = strconv.AppendInt(text, int64(member.Status), 10)
 	return xxhash.Sum64(text)
--- a/membership/digest_test.go
+++ b/membership/digest_test.go
@@ -11,7 +11,7 @@
 func makeMembers(count int) []Member {
 	members := make([]Member, count)
 	for i := range members {
-		members[i] = Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Version: 1}
+		members[i] = Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Incarnation: 1}
 	}
 	return members
 }
@@ -32,7 +32,7 @@
 // A comparison exchanges only the buckets that differ and leaves both lists equal.
 func TestListsAreComparedByBucket(t *testing.T) {
 	const known = 320
-	extra := Member{ID: "extra", Control: "extra:1", Generation: 1, Version: 1}
+	extra := Member{ID: "extra", Control: "extra:1", Generation: 1, Incarnation: 1}
 	suspected := makeMembers(1)[0]
 	suspected.Status = Suspect
 	dead := extra
@@ -85,7 +85,7 @@
 	before := len(m.updates.items)
 	receiveUpdates(m, makeMembers(300)...)
 	is.Equal(len(m.updates.items), before+1) // the sender's own record
-	receiveUpdates(m, Member{ID: "one", Control: "one:1", Generation: 1, Version: 1})
+	receiveUpdates(m, Member{ID: "one", Control: "one:1", Generation: 1, Incarnation: 1})
 	is.Equal(len(m.updates.items), before+2)
 }
 
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -57,7 +57,7 @@
 		nextGossip: now,
 		changed:    true,
 	}
-	m.self.Version = max(m.self.Version, 1)
+	m.self.Incarnation = max(m.self.Incarnation, 1)
 	m.digests.toggle(m.self)
 	m.updates.add(m.self)
 	return m
@@ -95,7 +95,7 @@
 	}
 	m.updateSelf(func(self *Member) {
 		self.Leaving, self.Down = leaving, down
-		self.Version++
+		self.Incarnation++
 	})
 }
 
@@ -106,7 +106,7 @@
 	}
 	m.updateSelf(func(self *Member) {
 		self.Votes = votes
-		self.Version++
+		self.Incarnation++
 	})
 }
 
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -20,12 +20,12 @@
 }
 
 func other(version uint64, status Status) Member {
-	return Member{ID: "b", Control: "b:1", Generation: 5, Version: version, Status: status}
+	return Member{ID: "b", Control: "b:1", Generation: 5, Incarnation: version, Status: status}
 }
 
 // receiveUpdates delivers updates to a machine in a message from a third process.
 func receiveUpdates(m *Machine, updates ...Member) Message {
-	return m.Receive(startTime, Message{Kind: Gossip, From: Member{ID: "c", Control: "c:1", Generation: 5, Version: 1}, Updates: updates})
+	return m.Receive(startTime, Message{Kind: Gossip, From: Member{ID: "c", Control: "c:1", Generation: 5, Incarnation: 1}, Updates: updates})
 }
 
 func findMember(m *Machine, id string) (Member, bool) {
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	m := newMachine("a")
 	receiveUpdates(m, other(9, Alive))
-	successor := Member{ID: "b2", Control: "b:1", Generation: 6, Version: 1}
+	successor := Member{ID: "b2", Control: "b:1", Generation: 6, Incarnation: 1}
 	receiveUpdates(m, successor)
 	former, _ := findMember(m, "b")
 	is.Equal(former.Status, Dead)
@@ -87,7 +87,7 @@
 	self := m.Self()
 	self.Status = Suspect
 	reply := receiveUpdates(m, self)
-	is.Equal(reply.From.Version, self.Version+1)
+	is.Equal(reply.From.Incarnation, self.Incarnation+1)
 	is.Equal(m.Self().Status, Alive)
 }
 
@@ -109,7 +109,7 @@
 	is := is.New(t)
 	m := newMachine("a")
 	for i := range 500 {
-		receiveUpdates(m, Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Version: 1})
+		receiveUpdates(m, Member{ID: fmt.Sprint("m", i), Control: fmt.Sprint("m", i, ":1"), Generation: 1, Incarnation: 1})
 	}
 	reply := m.Receive(startTime, Message{Kind: Ping, From: other(1, Alive)})
 	is.True(len(reply.Updates) <= 17) // at most 16 updates and the sender's own record
@@ -139,7 +139,7 @@
 func TestSuccessorWithEarlierClockReplacesPredecessor(t *testing.T) {
 	is := is.New(t)
 	peer := newMachine("a")
-	former := Member{ID: "former", Control: "x:1", Generation: 2000, Version: 7}
+	former := Member{ID: "former", Control: "x:1", Generation: 2000, Incarnation: 7}
 	peer.Receive(startTime, Message{Kind: Gossip, From: former})
 	successor := New(Config{
 		Self:          Member{ID: "successor", Control: "x:1", Generation: 1000},
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -26,8 +26,8 @@
 
 // supersedes reports whether a is a later record of a member than b.
 func supersedes(a, b Member) bool {
-	if a.Version != b.Version {
-		return a.Version > b.Version
+	if a.Incarnation != b.Incarnation {
+		return a.Incarnation > b.Incarnation
 	}
 	return a.Status > b.Status
 }
@@ -35,10 +35,10 @@
 // refute raises the incarnation of this process if the received record declares it
 // suspected or dead.
 func (m *Machine) refute(received Member) {
-	if received.Version < m.self.Version || received.Status == Alive {
+	if received.Incarnation < m.self.Incarnation || received.Status == Alive {
 		return
 	}
-	m.updateSelf(func(self *Member) { self.Version = received.Version + 1 })
+	m.updateSelf(func(self *Member) { self.Incarnation = received.Incarnation + 1 })
 }
 
 // raiseGeneration raises the generation of this process above that of a predecessor at
@@ -50,7 +50,7 @@
 	}
 	m.updateSelf(func(self *Member) {
 		self.Generation = predecessor.Generation + 1
-		self.Version++
+		self.Incarnation++
 	})
 }
 
--- a/membership/types.go
+++ b/membership/types.go
@@ -36,9 +36,9 @@
 	// milliseconds. As that clock may be wrong, a process that receives the record
 	// of a predecessor raises its generation above it.
 	Generation int64 `json:"st"`
-	// Version is the incarnation. Only the member itself raises it.
-	Version uint64 `json:"inc"`
-	Status  Status `json:"sta,omitempty"`
+	// Incarnation orders the records of one process. Only the member itself raises it.
+	Incarnation uint64 `json:"inc"`
+	Status      Status `json:"sta,omitempty"`
 	// Leaving reports that the member takes no new requests.
 	Leaving bool `json:"lv,omitempty"`
 	// Down reports that the member's back end refuses connections.
--- a/plugin/membership/log.go
+++ b/plugin/membership/log.go
@@ -31,7 +31,7 @@
 	case after.ID == m.process.ID:
 		announced := after.Leaving != before.Leaving || after.Down != before.Down || !slices.Equal(after.Votes, before.Votes)
 		if !announced {
-			m.process.Log.Emit(event.SelfRefuted, "incarnation", after.Version)
+			m.process.Log.Emit(event.SelfRefuted, "incarnation", after.Incarnation)
 		}
 	case before.ID == "":
 		m.process.Log.Emit(event.MemberJoined, "member", after.ID, "service", after.Service, "zone", after.Zone)
