--- a/kernel/account.go
+++ b/kernel/account.go
@@ -56,7 +56,7 @@
 		"priority", call.Priority,
 		"left_ms", call.Deadline.Left().Milliseconds(),
 		"pressure", call.Pressure,
-		"tried", call.Tried,
+		"tried", call.TriedNodes,
 		"signature", call.Signature().String(),
 	}
 	if call.Inbound {
@@ -68,9 +68,9 @@
 	return pairs
 }
 
-// LogRepeat logs an attempt that will be followed by another one. err is the error of
+// LogRetry logs an attempt that will be followed by another one. err is the error of
 // the attempt, nil when the attempt got an answer.
-func (p *Process) LogRepeat(call *Call, err error) {
+func (p *Process) LogRetry(call *Call, err error) {
 	pairs := callPairs(call)
 	if err != nil {
 		typed := result.From(err)
--- a/kernel/advice.go
+++ b/kernel/advice.go
@@ -17,7 +17,7 @@
 	}
 	advised.FractionalRetryAfter = p.Dialect.FractionalRetryAfter
 	if advised.Code.Conclusion().Overload {
-		advised.WithRetryAfter(result.SpreadWait(call.RoomAfter, rand.Float64()))
+		advised.WithRetryAfter(result.SpreadWait(call.CapacityAfter, rand.Float64()))
 	}
 	return &advised
 }
--- a/kernel/advice_test.go
+++ b/kernel/advice_test.go
@@ -39,7 +39,7 @@
 			sent := map[string]bool{}
 			for range 50 {
 				recorder := httptest.NewRecorder()
-				p.withRetryAfter(&Call{External: c.external, RoomAfter: c.roomAfter}, refused).WriteHTTP(recorder)
+				p.withRetryAfter(&Call{External: c.external, CapacityAfter: c.roomAfter}, refused).WriteHTTP(recorder)
 				got := recorder.Header().Get("Retry-After")
 				is.True(got >= c.low && got <= c.high) // same length, so strings compare like numbers
 				sent[got] = true
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -36,10 +36,10 @@
 	Credential string
 	// Tenant is the name of the tenant, "" when none is known.
 	Tenant string
-	// Repeat is true when this attempt, or one upstream of it, is a retry.
-	Repeat bool
-	// Tried lists the nodes to which earlier attempts were sent.
-	Tried []string
+	// IsRetry is true when this attempt, or one upstream of it, is a retry.
+	IsRetry bool
+	// TriedNodes lists the nodes to which earlier attempts were sent.
+	TriedNodes []string
 	// Attempt identifies this attempt of the call.
 	Attempt string
 	// Priority is the priority of the user request, from 0 (lowest) to
@@ -73,41 +73,41 @@
 	External bool
 	// Routed is true when the service was chosen by the route table.
 	Routed bool
-	// Patience is the time that the caller is willing to wait, 0 when the caller did not
+	// CallerTimeout is the time that the caller is willing to wait, 0 when the caller did not
 	// send one.
-	Patience time.Duration
+	CallerTimeout time.Duration
 	// Pressure is the highest pressure seen by an attempt of the call: the time spent in
 	// queues for slots, as a multiple of its target.
 	Pressure float64
-	// RoomAfter is the estimated time until a call like this one can be admitted, 0 when
+	// CapacityAfter is the estimated time until a call like this one can be admitted, 0 when
 	// unknown. It is set by the plug-in that admits calls by route.
-	RoomAfter time.Duration
+	CapacityAfter time.Duration
 	// ReleaseSlot releases the slot of the back end early. It is set by the admission
 	// plug-in and nil before it.
 	ReleaseSlot func()
 }
 
-// NotePressure records the pressure that another process reported for an attempt, for
+// RecordPressure records the pressure that another process reported for an attempt, for
 // the call and for the execution that makes it.
-func (c *Call) NotePressure(pressure float64) {
+func (c *Call) RecordPressure(pressure float64) {
 	c.Pressure = max(c.Pressure, pressure)
 	if c.Execution != nil {
-		c.Execution.NotePressure(pressure)
+		c.Execution.RecordPressure(pressure)
 	}
 }
 
-// Committed reports whether the call has upstream work: other services have already
+// HasUpstreamWork reports whether the call has upstream work: other services have already
 // done work for the user request, which is lost when the call is refused.
-func (c *Call) Committed() bool { return c.Hops > 0 }
+func (c *Call) HasUpstreamWork() bool { return c.Hops > 0 }
 
 // Answer is the answer to a call.
 type Answer struct {
 	*http.Response
 	// Replayed is true for the stored answer of an earlier execution.
 	Replayed bool
-	// Inherited is true when the back end failed because one of its own calls failed.
+	// CausedDownstream is true when the back end failed because one of its own calls failed.
 	// Such an answer does not count as a fault of that back end.
-	Inherited bool
+	CausedDownstream bool
 }
 
 // Failed reports whether the answer has a status of 500 or more. It is false for nil.
--- a/kernel/counters.go
+++ b/kernel/counters.go
@@ -14,12 +14,12 @@
 type Counters struct {
 	Retries   atomic.Int64
 	Pipelined atomic.Int64
-	// LoadsNotUnderstood counts answers of the back end with an invalid load.
-	LoadsNotUnderstood atomic.Int64
-	Suspended          atomic.Int64 // milliseconds
-	ControlSent        atomic.Int64 // bytes
-	ControlReceived    atomic.Int64 // bytes
-	ControlMessages    atomic.Int64 // messages sent
+	// InvalidLoads counts answers of the back end with an invalid load.
+	InvalidLoads    atomic.Int64
+	Suspended       atomic.Int64 // milliseconds
+	ControlSent     atomic.Int64 // bytes
+	ControlReceived atomic.Int64 // bytes
+	ControlMessages atomic.Int64 // messages sent
 
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -47,7 +47,7 @@
 	registry.MustRegister(c.requests, c.latency,
 		counterOf("loomcleat_retries_total", "Attempts after the first one that this process made.", &c.Retries),
 		counterOf("loomcleat_requests_ahead_total", "Requests that were served before their turn on a caller's connection.", &c.Pipelined),
-		counterOf("loomcleat_loads_not_understood_total", "Answers of the back end with a load that makes no sense.", &c.LoadsNotUnderstood),
+		counterOf("loomcleat_loads_not_understood_total", "Answers of the back end with a load that makes no sense.", &c.InvalidLoads),
 		counterOf("loomcleat_suspended_milliseconds_total", "Time in which the machine was suspended.", &c.Suspended),
 		counterOf("loomcleat_control_sent_bytes_total", "Bytes written on control connections.", &c.ControlSent),
 		counterOf("loomcleat_control_received_bytes_total", "Bytes read on control connections.", &c.ControlReceived),
--- a/kernel/execution.go
+++ b/kernel/execution.go
@@ -23,8 +23,8 @@
 	Hops     int
 	// RequestID is the ID that the caller gave the request, "" for none.
 	RequestID string
-	// Repeat is true when the attempt, or one upstream of it, is a retry.
-	Repeat bool
+	// IsRetry is true when the attempt, or one upstream of it, is a retry.
+	IsRetry bool
 
 	mutex    sync.Mutex
 	children int           // open calls of the back end
@@ -66,16 +66,16 @@
 	return e.waited
 }
 
-// NoteLevel records the admission level of a service that the back end called.
-func (e *Execution) NoteLevel(level int) {
+// RecordLevel records the admission level of a service that the back end called.
+func (e *Execution) RecordLevel(level int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.level = max(e.level, level)
 }
 
-// NotePressure records a pressure seen by this execution or reported for a call of the
+// RecordPressure records a pressure seen by this execution or reported for a call of the
 // back end.
-func (e *Execution) NotePressure(pressure float64) {
+func (e *Execution) RecordPressure(pressure float64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.pressure = max(e.pressure, pressure)
--- a/kernel/inbound.go
+++ b/kernel/inbound.go
@@ -26,14 +26,14 @@
 		Level:     call.Execution.Level(),
 		Pressure:  call.Execution.Pressure(),
 		Inherited: answer.Failed() && call.Execution.CallFailed(),
-		Leaving:   p.Announced(),
+		Leaving:   p.LeaveAnnounced(),
 		Replayed:  answer != nil && answer.Replayed,
 	}
 	if p.hooks.occupancy != nil {
 		occupancy := p.hooks.occupancy(time.Now())
 		report.Level = max(report.Level, occupancy.Level)
 		report.LoadKnown, report.Load = true, occupancy.Load
-		report.Faults = occupancy.Faults
+		report.Faults = occupancy.FaultRate
 	}
 	report.Write(header)
 }
@@ -65,7 +65,7 @@
 		Hops:     call.Hops,
 
 		RequestID: call.RequestID,
-		Repeat:    call.Repeat,
+		IsRetry:   call.IsRetry,
 	}
 	for _, read := range p.hooks.readContext {
 		if err := read(call, &received); err != nil {
@@ -88,6 +88,6 @@
 	call.Priority = min(max(received.Priority, 0), admission.MaximumPriority)
 	call.Budget = retrybudget.Open(min(received.Budget, policy.MaximumRetryBudget))
 	call.Hops = received.Hops
-	call.Repeat = received.Repeat
+	call.IsRetry = received.Repeat
 	call.Policy.TargetLatency = received.Target
 }
--- a/kernel/loop.go
+++ b/kernel/loop.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// Ask runs query on the control loop and returns its result. If ctx ends first, query
+// Query runs query on the control loop and returns its result. If ctx ends first, query
 // may still run and its result is dropped. A Task passed to Do must not write to variables
 // of its caller for the same reason. The errors are those of Do.
-func Ask[T any](ctx context.Context, loop *Loop, query func(now time.Time) T) (T, error) {
+func Query[T any](ctx context.Context, loop *Loop, query func(now time.Time) T) (T, error) {
 	answers := make(chan T, 1)
 	if err := loop.Do(ctx, func(now time.Time) { answers <- query(now) }); err != nil {
 		var none T
--- a/kernel/outbound.go
+++ b/kernel/outbound.go
@@ -147,16 +147,16 @@
 	call.Priority = execution.Priority
 	call.Budget = execution.Budget
 	call.Hops = execution.Hops + 1
-	call.Repeat = execution.Repeat
+	call.IsRetry = execution.IsRetry
 	call.Deadline = min(execution.Deadline, p.deadlineOf(call))
 }
 
 // deadlineOf returns the deadline of a call, the earlier one of its policy and its caller.
-// It sets call.Patience when the caller sent the time it has left.
+// It sets call.CallerTimeout when the caller sent the time it has left.
 func (p *Process) deadlineOf(call *Call) clock.Instant {
 	limit := call.Policy.Deadline
 	if left, sent := p.Dialect.ReadRemaining(call.Header); sent {
-		call.Patience = left
+		call.CallerTimeout = left
 		limit = min(limit, left)
 	}
 	return clock.Now().Add(limit)
--- a/kernel/outbound_test.go
+++ b/kernel/outbound_test.go
@@ -37,7 +37,7 @@
 	}}}))
 	p.ready.Store(true)
 	p.executions.add(&Execution{
-		RequestID: "parent", Request: "user", Priority: 900, Repeat: true, Hops: 1,
+		RequestID: "parent", Request: "user", Priority: 900, IsRetry: true, Hops: 1,
 		Budget: retrybudget.Open(1), Deadline: clock.Now().Add(time.Second),
 	})
 	return p
@@ -58,9 +58,9 @@
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "first", "500"))
 	is.NoErr(err)
 	is.Equal(call.Service, "s")
-	is.True(call.External && call.Routed && !call.Committed())
+	is.True(call.External && call.Routed && !call.HasUpstreamWork())
 	is.True(call.Deadline.Left() <= 500*time.Millisecond) // the caller's time left, shorter than the route's timeout
-	is.Equal(call.Patience, 500*time.Millisecond)
+	is.Equal(call.CallerTimeout, 500*time.Millisecond)
 	is.Equal(call.Header.Get("From"), "own")         // the caller's value is replaced
 	is.Equal(call.Header.Get(wire.HeaderCall), "")   // internal headers are removed
 	is.Equal(call.Priority/256, int(policy.Default)) // the route's class
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "parent/1", "5000"))
 	is.NoErr(err)
-	is.True(!call.External && call.Committed() && call.Repeat)
+	is.True(!call.External && call.HasUpstreamWork() && call.IsRetry)
 	is.Equal(call.Request, "user")
 	is.Equal(call.Priority, 900)
 	is.Equal(call.Hops, 2)
--- a/kernel/process.go
+++ b/kernel/process.go
@@ -150,9 +150,9 @@
 // Leaving reports whether Stop was called.
 func (p *Process) Leaving() bool { return p.leaving.Load() }
 
-// Announced reports whether a stopping process has announced to its peers that it leaves.
+// LeaveAnnounced reports whether a stopping process has announced to its peers that it leaves.
 // Until then they keep sending calls to its back end.
-func (p *Process) Announced() bool { return p.announced.Load() }
+func (p *Process) LeaveAnnounced() bool { return p.announced.Load() }
 
 // Draining reports whether the process refuses new requests.
 func (p *Process) Draining() bool { return p.draining.Load() }
--- a/kernel/services.go
+++ b/kernel/services.go
@@ -12,10 +12,10 @@
 type Documents interface {
 	// Revisions returns the revisions of the documents of this process.
 	Revisions() wire.Revisions
-	// Heard reports the revisions of a peer. It does not block. asked is when this
+	// ObservePeerRevisions reports the revisions of a peer. It does not block. asked is when this
 	// process requested them. It is zero for unsolicited revisions, which prove nothing
 	// about the present because they may have been delayed.
-	Heard(peer string, revisions wire.Revisions, asked time.Time)
+	ObservePeerRevisions(peer string, revisions wire.Revisions, asked time.Time)
 	// PolicyProof returns the age of the last proof that the policy of this process was
 	// the newest one. known is false when there is no proof.
 	PolicyProof(now time.Time) (age time.Duration, known bool)
@@ -44,8 +44,8 @@
 	// Digest returns a hash of the known crashes, 0 when there are none. Processes with
 	// equal digests have the same data.
 	Digest() uint64
-	// Heard reports the digest of a peer. It does not block.
-	Heard(peer string, digest uint64)
+	// ObservePeerDigest reports the digest of a peer. It does not block.
+	ObservePeerDigest(peer string, digest uint64)
 }
 
 // BackEnd is implemented by the plug-in that handles the heartbeats of the back end.
@@ -58,8 +58,8 @@
 	// ObserveReplacement reports that the incarnation actual refused a request sent to the
 	// incarnation expected.
 	ObserveReplacement(expected, actual string)
-	// Unreachable reports that no connection to the back end could be opened.
-	Unreachable()
+	// RecordUnreachable reports that no connection to the back end could be opened.
+	RecordUnreachable()
 	// State returns the current state of the back end.
 	State() instance.State
 }
--- a/kernel/state.go
+++ b/kernel/state.go
@@ -22,9 +22,9 @@
 	// Load is the number of requests in flight or queued, divided by the concurrency
 	// limit of the back end.
 	Load float64
-	// Faults is the share of recent requests that failed by a fault of the back end
+	// FaultRate is the share of recent requests that failed by a fault of the back end
 	// itself.
-	Faults float64
+	FaultRate float64
 }
 
 // MachineState is one reading of the machine list.
--- a/plugin/admission/occupancy.go
+++ b/plugin/admission/occupancy.go
@@ -21,7 +21,7 @@
 	}
 	load := float64(state.InFlight+state.Waiting) / float64(max(state.Limit, 1))
 	load = max(load, a.reportedLoad(now))
-	return kernel.Occupancy{Level: level, Load: load, Faults: a.faults.at(now)}
+	return kernel.Occupancy{Level: level, Load: load, FaultRate: a.faults.at(now)}
 }
 
 // maximumReportAge is the age up to which the load that the back end reported is used. Every
--- a/plugin/admission/wait.go
+++ b/plugin/admission/wait.go
@@ -23,7 +23,7 @@
 		a.setBounds(call)
 		queuedAt := time.Now()
 		ticket, err := a.wait(call)
-		call.Execution.NotePressure(admission.WaitPressure(time.Since(queuedAt), call.Policy.QueueTime, err != nil))
+		call.Execution.RecordPressure(admission.WaitPressure(time.Since(queuedAt), call.Policy.QueueTime, err != nil))
 		if err != nil {
 			return nil, err
 		}
@@ -57,7 +57,7 @@
 		Priority: call.Priority,
 		// The controller works by the monotonic clock of time.Now, unlike call.Deadline.
 		Deadline:         time.Now().Add(call.Deadline.Left()),
-		HasUpstreamWork:  call.Committed(),
+		HasUpstreamWork:  call.HasUpstreamWork(),
 		MaximumQueueTime: admission.MaximumQueueTime(call.Policy.TargetLatency),
 	}
 	ticket := a.controller.Submit(time.Now(), request, func(verdict admission.Verdict) { verdicts <- verdict })
--- a/plugin/configsync/peers.go
+++ b/plugin/configsync/peers.go
@@ -13,9 +13,9 @@
 // pullTimeout bounds the transfer of one document from a peer.
 const pullTimeout = 2 * time.Second
 
-// Heard implements kernel.Documents. It fetches the documents of which the peer has a newer
+// ObservePeerRevisions implements kernel.Documents. It fetches the documents of which the peer has a newer
 // revision.
-func (s *synchronizer) Heard(peer string, revisions wire.Revisions, requestedAt time.Time) {
+func (s *synchronizer) ObservePeerRevisions(peer string, revisions wire.Revisions, requestedAt time.Time) {
 	for _, d := range s.documents {
 		if revisions.Of(d.name) > d.revision.Load() && d.pulling.CompareAndSwap(false, true) {
 			go s.pull(peer, d)
@@ -60,7 +60,7 @@
 		return
 	}
 	confirmed := s.confirmed.Load()
-	answer, err := kernel.Ask(r.Context(), s.process.Loop, func(time.Time) wire.Document {
+	answer, err := kernel.Query(r.Context(), s.process.Loop, func(time.Time) wire.Document {
 		return wire.Document{Revision: d.current.Revision(), Data: d.current.Data(), Confirmed: confirmed}
 	})
 	if err != nil {
--- a/plugin/configsync/proof.go
+++ b/plugin/configsync/proof.go
@@ -85,7 +85,7 @@
 	if err := s.process.Control.Invoke(ctx, address, http.MethodGet, wire.PathRevisions, nil, &revisions); err != nil {
 		return // The next peer is asked. Refusals because of an old proof are logged.
 	}
-	s.Heard(address, revisions, requestedAt)
+	s.ObservePeerRevisions(address, revisions, requestedAt)
 }
 
 // otherWatchers returns the control addresses of the other processes that watch the
--- a/plugin/configsync/proof_test.go
+++ b/plugin/configsync/proof_test.go
@@ -41,10 +41,10 @@
 	process := newProcess(t, gatewaySettings(), &hangingStore{})
 	revisions := wire.Revisions{Age: 5, ProvenAge: 2000}
 	now := clock.Now().Time()
-	process.Documents.Heard("peer", revisions, time.Time{})
+	process.Documents.ObservePeerRevisions("peer", revisions, time.Time{})
 	_, known := process.Documents.PolicyProof(now)
 	is.True(!known)
-	process.Documents.Heard("peer", revisions, now.Add(-time.Second))
+	process.Documents.ObservePeerRevisions("peer", revisions, now.Add(-time.Second))
 	age, known := process.Documents.PolicyProof(now)
 	is.True(known)
 	is.Equal(age, 3*time.Second)
--- a/plugin/configsync/watch_test.go
+++ b/plugin/configsync/watch_test.go
@@ -111,9 +111,9 @@
 	is.True(ok)
 	w := &watcher{synchronizer: synchronizer, document: synchronizer.documents[wire.DocumentPolicy]}
 	is.True(w.shouldWatch()) // No peer has confirmed the policy yet.
-	synchronizer.Heard("peer", wire.Revisions{Age: 5}, time.Time{})
+	synchronizer.ObservePeerRevisions("peer", wire.Revisions{Age: 5}, time.Time{})
 	is.True(!w.shouldWatch())
-	synchronizer.Heard("peer", wire.Revisions{Age: 5, Policy: 7}, time.Time{})
+	synchronizer.ObservePeerRevisions("peer", wire.Revisions{Age: 5, Policy: 7}, time.Time{})
 	is.True(!process.Ready()) // Revision 7 has not been fetched.
 }
 
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -61,7 +61,7 @@
 	}
 	load, err := f.process.Dialect.ReadLoad(header)
 	if err != nil {
-		f.process.Counters.LoadsNotUnderstood.Add(1)
+		f.process.Counters.InvalidLoads.Add(1)
 		f.process.Log.Emit(event.LoadNotUnderstood, "backend", f.process.Settings.Backend, "error", err)
 		return
 	}
--- a/plugin/forward/health.go
+++ b/plugin/forward/health.go
@@ -14,7 +14,7 @@
 // recordUnreachable records that no connection to the back end could be opened.
 func (f *forwarder) recordUnreachable() {
 	if f.process.BackEnd != nil {
-		f.process.BackEnd.Unreachable()
+		f.process.BackEnd.RecordUnreachable()
 		return
 	}
 	f.setDown(true)
--- a/plugin/instance/backend.go
+++ b/plugin/instance/backend.go
@@ -33,7 +33,7 @@
 func (p *plugin) State() instance.State { return *p.state.Load() }
 
 func (p *plugin) Observe(ctx context.Context, report instance.Report) error {
-	refused, err := kernel.Ask(ctx, p.process.Loop, func(now time.Time) error {
+	refused, err := kernel.Query(ctx, p.process.Loop, func(now time.Time) error {
 		err := p.tracker.Observe(now, report)
 		p.unreachable.Store(false)
 		p.publish()
@@ -62,7 +62,7 @@
 	})
 }
 
-func (p *plugin) Unreachable() {
+func (p *plugin) RecordUnreachable() {
 	if p.unreachable.Swap(true) {
 		return
 	}
--- a/plugin/membership/gossip.go
+++ b/plugin/membership/gossip.go
@@ -77,9 +77,9 @@
 // dispatch passes the revisions and the digest in a peer's envelope to the plug-ins that own
 // them. requestedAt is when this process sent the request, zero for an unsolicited message.
 func (m *mesh) dispatch(peer string, envelope wire.Envelope, requestedAt time.Time) {
-	m.process.Documents.Heard(peer, envelope.Revisions, requestedAt)
+	m.process.Documents.ObservePeerRevisions(peer, envelope.Revisions, requestedAt)
 	if m.process.Quarantine != nil {
-		m.process.Quarantine.Heard(peer, envelope.Quarantine)
+		m.process.Quarantine.ObservePeerDigest(peer, envelope.Quarantine)
 	}
 }
 
@@ -89,7 +89,7 @@
 	if !kernel.ReadJSON(w, r, &envelope) {
 		return
 	}
-	reply, err := kernel.Ask(r.Context(), m.process.Loop, func(now time.Time) membership.Message {
+	reply, err := kernel.Query(r.Context(), m.process.Loop, func(now time.Time) membership.Message {
 		answer := m.stateMachine.Receive(now, envelope.Membership)
 		m.publish(now)
 		return answer
@@ -107,7 +107,7 @@
 
 // probeFor probes an address on behalf of another process and reports whether it answered.
 func (m *mesh) probeFor(target string) bool {
-	message, err := kernel.Ask(context.Background(), m.process.Loop, func(time.Time) membership.Message {
+	message, err := kernel.Query(context.Background(), m.process.Loop, func(time.Time) membership.Message {
 		return m.stateMachine.PingMessage()
 	})
 	if err != nil {
--- a/plugin/membership/setup.go
+++ b/plugin/membership/setup.go
@@ -84,7 +84,7 @@
 
 // SetState implements kernel.Mesh. A process that has announced that it leaves stays leaving.
 func (m *mesh) SetState(leaving, down bool) {
-	m.stateMachine.SetState(leaving || m.process.Announced(), down)
+	m.stateMachine.SetState(leaving || m.process.LeaveAnnounced(), down)
 }
 
 // SetVotes implements kernel.Mesh.
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -23,7 +23,7 @@
 // of the previous epoch, until this process votes in the group. It runs until ctx is done.
 func (o *once) collectClaims(ctx context.Context) {
 	for {
-		fetches, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Fetch { return o.replica.Fetches() })
+		fetches, err := kernel.Query(ctx, o.process.Loop, func(time.Time) []claims.Fetch { return o.replica.Fetches() })
 		if err != nil {
 			return // The process is stopping.
 		}
@@ -89,7 +89,7 @@
 		result.From(err).WriteHTTP(w)
 		return
 	}
-	reply, err := kernel.Ask(r.Context(), o.process.Loop, func(now time.Time) wire.HandOverReply {
+	reply, err := kernel.Query(r.Context(), o.process.Loop, func(now time.Time) wire.HandOverReply {
 		handed, ok := o.replica.HandOver(now, request.Group, request.Epoch)
 		return wire.HandOverReply{OK: ok, Claims: handed}
 	})
@@ -111,7 +111,7 @@
 }
 
 func (o *once) status(ctx context.Context) (wire.ClaimStatus, error) {
-	return kernel.Ask(ctx, o.process.Loop, func(time.Time) wire.ClaimStatus {
+	return kernel.Query(ctx, o.process.Loop, func(time.Time) wire.ClaimStatus {
 		status := wire.ClaimStatus{Revision: o.replica.Revision()}
 		for i := range o.replica.Groups() {
 			if o.replica.IsVoter(i) {
@@ -198,7 +198,7 @@
 // released reports whether this process holds no vote, neither its own nor one taken over,
 // and every group has a voting majority without it.
 func (o *once) released(ctx context.Context, document *claims.Groups) bool {
-	votes, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
+	votes, err := kernel.Query(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
 	if err != nil || len(votes) > 0 {
 		return false
 	}
--- a/plugin/once/replicas.go
+++ b/plugin/once/replicas.go
@@ -54,13 +54,13 @@
 	if err != nil {
 		return claims.Reply{}, err
 	}
-	o.process.Documents.Heard(replica.Control, wire.Revisions{Groups: reply.Revision}, time.Time{})
+	o.process.Documents.ObservePeerRevisions(replica.Control, wire.Revisions{Groups: reply.Revision}, time.Time{})
 	return reply.Reply, nil
 }
 
 // askOwnReplica requests a claim from the replica of this process.
 func (o *once) askOwnReplica(ctx context.Context, request wire.ClaimRequest) (claims.Reply, error) {
-	return kernel.Ask(ctx, o.process.Loop, func(now time.Time) claims.Reply {
+	return kernel.Query(ctx, o.process.Loop, func(now time.Time) claims.Reply {
 		return o.replica.RequestClaim(now, request.Group, request.Epoch, request.Claim)
 	})
 }
--- a/plugin/once/votes.go
+++ b/plugin/once/votes.go
@@ -61,7 +61,7 @@
 // handOverVotes transfers each vote of this process to another process. A vote whose
 // transfer fails is missing until the next epoch.
 func (o *once) handOverVotes(ctx context.Context) {
-	votes, err := kernel.Ask(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
+	votes, err := kernel.Query(ctx, o.process.Loop, func(time.Time) []claims.Vote { return o.replica.HeldVotes() })
 	document := o.groups.Load()
 	if err != nil || document == nil || len(votes) == 0 {
 		return // There is nothing to transfer, or the time to stop is over.
@@ -110,7 +110,7 @@
 // next successor is asked. After an error it stops: the vote may have been accepted, and two
 // processes must not hold the same vote.
 func (o *once) handOverVote(ctx context.Context, vote claims.Vote, successors []claims.Process, document []byte) {
-	request, err := kernel.Ask(ctx, o.process.Loop, func(now time.Time) *wire.VoteTransfer {
+	request, err := kernel.Query(ctx, o.process.Loop, func(now time.Time) *wire.VoteTransfer {
 		handed, ok := o.replica.ReleaseVote(now, vote)
 		if !ok {
 			return nil
@@ -141,7 +141,7 @@
 		result.From(err).WriteHTTP(w)
 		return
 	}
-	reply, err := kernel.Ask(r.Context(), o.process.Loop, func(now time.Time) wire.VoteTransferReply {
+	reply, err := kernel.Query(r.Context(), o.process.Loop, func(now time.Time) wire.VoteTransferReply {
 		taken := o.replica.AcceptVote(now, request.Vote, request.Claims)
 		o.announceVotes()
 		return wire.VoteTransferReply{OK: taken}
--- a/plugin/quarantine/peers.go
+++ b/plugin/quarantine/peers.go
@@ -89,10 +89,10 @@
 	return p.ledger.Digest(clock.Now().Time())
 }
 
-// Heard implements kernel.Quarantine. If the digest of the peer differs, it fetches the
+// ObservePeerDigest implements kernel.Quarantine. If the digest of the peer differs, it fetches the
 // crashes that the peer knows, so that processes which were partitioned or have just started
 // catch up.
-func (p *plugin) Heard(peer string, digest uint64) {
+func (p *plugin) ObservePeerDigest(peer string, digest uint64) {
 	if digest == 0 || digest == p.Digest() || !p.pulling.CompareAndSwap(false, true) {
 		return
 	}
--- a/plugin/quota/report.go
+++ b/plugin/quota/report.go
@@ -128,6 +128,6 @@
 	if err := l.client.Invoke(ctx, coordinator.Control, http.MethodPost, wire.PathQuota, &message, &reply); err != nil {
 		return quota.Answer{}, err
 	}
-	l.process.Documents.Heard(coordinator.Control, reply.Revisions, sentAt)
+	l.process.Documents.ObservePeerRevisions(coordinator.Control, reply.Revisions, sentAt)
 	return reply.Answer, nil
 }
--- a/plugin/retry/decision_test.go
+++ b/plugin/retry/decision_test.go
@@ -128,14 +128,14 @@
 		attempts++
 		switch {
 		case attempts == 1:
-		case call.Tried == nil:
+		case call.TriedNodes == nil:
 			steps = append(steps, "pause")
 		case call.Budget.Left() < left:
 			steps = append(steps, "paid")
 		default:
 			steps = append(steps, "free")
 		}
-		call.Tried, left = append(call.Tried, "node"), call.Budget.Left()
+		call.TriedNodes, left = append(call.TriedNodes, "node"), call.Budget.Left()
 		if attempts > failingAttempts {
 			return newAnswer(http.StatusOK), nil
 		}
@@ -154,7 +154,7 @@
 	default:
 		steps = append(steps, "error")
 	}
-	if call.Repeat {
+	if call.IsRetry {
 		steps = append(steps, "marked as repeated")
 	}
 	if call.Pressure > 0 {
--- a/plugin/retry/limiter.go
+++ b/plugin/retry/limiter.go
@@ -90,7 +90,7 @@
 	defer l.mutex.Unlock()
 	budget := l.budget(call)
 	budget.RecordRequest(now)
-	if call.Repeat {
+	if call.IsRetry {
 		budget.RecordRetry(now)
 	}
 }
@@ -103,7 +103,7 @@
 		call.Budget.ReturnUnused(1, 1)
 		return false
 	}
-	call.Repeat = true
+	call.IsRetry = true
 	return true
 }
 
--- a/plugin/retry/limiter_test.go
+++ b/plugin/retry/limiter_test.go
@@ -60,7 +60,7 @@
 			handler := r.middleware(kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 				next := c.attempts[made]
 				made++
-				repeat = call.Repeat
+				repeat = call.IsRetry
 				if next.err != nil {
 					return nil, next.err
 				}
@@ -130,7 +130,7 @@
 	is := is.New(t)
 	process := newSharedProcess()
 	l := newLimiter(process)
-	call := &kernel.Call{Service: "s", Budget: retrybudget.Open(1), Repeat: true}
+	call := &kernel.Call{Service: "s", Budget: retrybudget.Open(1), IsRetry: true}
 	for range 10 {
 		l.recordCall(call) // ten repeated calls exceed the budget
 	}
--- a/plugin/retry/retrier.go
+++ b/plugin/retry/retrier.go
@@ -28,7 +28,7 @@
 	situation := retry.Situation{
 		Repeatable:      call.Policy.Repeatable,
 		Claims:          r.process.Settings.Claims,
-		HasUpstreamWork: call.Committed(),
+		HasUpstreamWork: call.HasUpstreamWork(),
 		SharedBudget:    r.limiter.shared(),
 		MaximumArrivals: call.Policy.MaximumAttempts,
 	}
@@ -45,7 +45,7 @@
 		case decision.Send && (!decision.Paid || r.limiter.takeRetry(call)):
 		case decision.Pause:
 			kernel.Pause(call.Context, retry.UnavailablePause)
-			situation.Offers, situation.Unavailable, call.Tried = 0, false, nil
+			situation.Offers, situation.Unavailable, call.TriedNodes = 0, false, nil
 		default:
 			recordPressure(call, err)
 			return answer, markRan(err, mayHaveRun)
@@ -54,7 +54,7 @@
 			discard(answer)
 		}
 		r.process.Counters.Retries.Add(1)
-		r.process.LogRepeat(call, err)
+		r.process.LogRetry(call, err)
 	}
 }
 
@@ -75,7 +75,7 @@
 // recordPressure records pressure for a call whose last attempt the back end refused.
 func recordPressure(call *kernel.Call, err error) {
 	if err != nil && result.From(err).Code.Conclusion().ByBackEnd {
-		call.NotePressure(admission.RefusedPressure)
+		call.RecordPressure(admission.RefusedPressure)
 	}
 }
 
--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -30,7 +30,7 @@
 		return nil, readRefusal(response)
 	}
 	wire.RemoveInternal(response.Header)
-	return &kernel.Answer{Response: response, Inherited: report.Inherited}, nil
+	return &kernel.Answer{Response: response, CausedDownstream: report.Inherited}, nil
 }
 
 // recordReport records what a node reports about itself and about the services that its back end
@@ -38,7 +38,7 @@
 func (a *attempt) recordReport(report *wire.Report) {
 	now := time.Now()
 	node, path := a.target.ID, a.call.Policy.Path
-	a.call.NotePressure(report.Pressure)
+	a.call.RecordPressure(report.Pressure)
 	if report.LoadKnown {
 		a.balancer.SetLoad(now, node, report.Load)
 	}
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -82,7 +82,7 @@
 		a.call.Budget.ReturnUnused(a.delegated, a.delegated) // the node never received them
 	}
 	if err.Code == result.DeadlineExceeded {
-		a.call.NotePressure(admission.TimeoutPressure)
+		a.call.RecordPressure(admission.TimeoutPressure)
 	}
 }
 
@@ -108,7 +108,7 @@
 		Budget:    a.delegated,
 		Hops:      call.Hops,
 		Target:    call.Policy.TargetLatency,
-		Repeat:    call.Repeat,
+		Repeat:    call.IsRetry,
 	}
 	process.WriteContext(call, &callContext)
 	header := call.Header.Clone()
--- a/plugin/routing/outcome.go
+++ b/plugin/routing/outcome.go
@@ -28,7 +28,7 @@
 
 // outcomeOfAnswer returns the outcome of an attempt with a complete answer of the back end.
 func outcomeOfAnswer(answer *kernel.Answer) balance.Outcome {
-	if answer.Failed() && !answer.Inherited {
+	if answer.Failed() && !answer.CausedDownstream {
 		return balance.Faulty
 	}
 	return balance.Answered
--- a/plugin/routing/route.go
+++ b/plugin/routing/route.go
@@ -26,23 +26,23 @@
 	if !found {
 		return nil, r.noNode(call)
 	}
-	call.Tried = append(call.Tried, target.ID)
+	call.TriedNodes = append(call.TriedNodes, target.ID)
 	return r.attempt(call, balancer, target)
 }
 
 // refusedByLevel reports whether a call below the admission level is refused before it is sent.
 // A call with upstream work waits for a slot at the node instead. A routed request has already
 // been admitted by the gate of its route (plug-in shed).
-func refusedByLevel(call *kernel.Call) bool { return !call.Committed() && !call.Routed }
+func refusedByLevel(call *kernel.Call) bool { return !call.HasUpstreamWork() && !call.Routed }
 
 // pick returns the node for the next attempt, one that the call has not tried yet. If all were
-// tried, it clears call.Tried and returns any node.
+// tried, it clears call.TriedNodes and returns any node.
 func pick(now time.Time, balancer *balance.Balancer, call *kernel.Call) (balance.Target, bool) {
-	need := balance.Requirements{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.Tried, NotRepeatable: !call.Policy.Repeatable}
+	need := balance.Requirements{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.TriedNodes, NotRepeatable: !call.Policy.Repeatable}
 	if target, found := balancer.Pick(now, need); found {
 		return target, true
 	}
-	call.Tried, need.Exclude = nil, nil
+	call.TriedNodes, need.Exclude = nil, nil
 	return balancer.Pick(now, need)
 }
 
@@ -55,6 +55,6 @@
 
 func recordLevel(call *kernel.Call, level int) {
 	if call.Execution != nil {
-		call.Execution.NoteLevel(level)
+		call.Execution.RecordLevel(level)
 	}
 }
--- a/plugin/shed/gates.go
+++ b/plugin/shed/gates.go
@@ -67,15 +67,15 @@
 }
 
 // admit reports whether the call is admitted, and the share of calls that its gate admits. It
-// sets call.RoomAfter.
+// sets call.CapacityAfter.
 func (g *gates) admit(call *kernel.Call) (share float64, admitted bool) {
 	now := time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	route := g.route(call, now)
-	route.maximumTimeout = max(route.maximumTimeout, call.Patience)
-	admitted = route.gate.Admit(now, admission.Rank(route.maximumTimeout-call.Patience, rand.Float64()))
-	call.RoomAfter = route.gate.ReopensAfter()
+	route.maximumTimeout = max(route.maximumTimeout, call.CallerTimeout)
+	admitted = route.gate.Admit(now, admission.Rank(route.maximumTimeout-call.CallerTimeout, rand.Float64()))
+	call.CapacityAfter = route.gate.ReopensAfter()
 	return route.gate.Share(), admitted
 }
 
