--- a/kernel/inbound.go
+++ b/kernel/inbound.go
@@ -21,19 +21,19 @@
 // answer is nil when the call was refused.
 func (p *Process) addReport(header http.Header, call *Call, answer *Answer) {
 	report := wire.Report{
-		Attempt:   call.Attempt,
-		Unspent:   call.Budget.Close(),
-		Level:     call.Execution.Level(),
-		Pressure:  call.Execution.Pressure(),
-		Inherited: answer.Failed() && call.Execution.CallFailed(),
-		Leaving:   p.LeaveAnnounced(),
-		Replayed:  answer != nil && answer.Replayed,
+		Attempt:          call.Attempt,
+		UnusedRetries:    call.Budget.Close(),
+		Level:            call.Execution.Level(),
+		Pressure:         call.Execution.Pressure(),
+		CausedDownstream: answer.Failed() && call.Execution.CallFailed(),
+		Leaving:          p.LeaveAnnounced(),
+		Replayed:         answer != nil && answer.Replayed,
 	}
 	if p.hooks.occupancy != nil {
 		occupancy := p.hooks.occupancy(time.Now())
 		report.Level = max(report.Level, occupancy.Level)
 		report.LoadKnown, report.Load = true, occupancy.Load
-		report.Faults = occupancy.FaultRate
+		report.FaultRate = occupancy.FaultRate
 	}
 	report.Write(header)
 }
@@ -86,8 +86,8 @@
 	}
 	call.Deadline = clock.Now().Add(received.Remaining)
 	call.Priority = min(max(received.Priority, 0), admission.MaximumPriority)
-	call.Budget = retrybudget.Open(min(received.Budget, policy.MaximumRetryBudget))
+	call.Budget = retrybudget.Open(min(received.RetryAllowance, policy.MaximumRetryBudget))
 	call.Hops = received.Hops
-	call.IsRetry = received.Repeat
-	call.Policy.TargetLatency = received.Target
+	call.IsRetry = received.IsRetry
+	call.Policy.TargetLatency = received.TargetLatency
 }
--- a/plugin/once/claim.go
+++ b/plugin/once/claim.go
@@ -114,7 +114,7 @@
 		switch {
 		case err != nil || state == wire.RunUnknown:
 			return nil, uncertain("the process that ran the request does not answer for it")
-		case state == wire.RunNeverRan:
+		case state == wire.RunAbandoned:
 			return nil, nil
 		case state == wire.RunFinished && answer == nil:
 			return nil, uncertain("the request was run before and its answer was not kept")
--- a/plugin/once/once.go
+++ b/plugin/once/once.go
@@ -85,7 +85,7 @@
 		return false, nil, uncertain("the first run of the request has not ended")
 	}
 	state, stored := current.outcome()
-	if state == wire.RunNeverRan {
+	if state == wire.RunAbandoned {
 		return true, nil, nil
 	}
 	answer, err = replay(stored)
@@ -97,7 +97,7 @@
 func (o *once) runNew(next kernel.Handler, call *kernel.Call, current *run) (*kernel.Answer, error) {
 	outcome, err := o.claim(call, current)
 	if err != nil || !outcome.granted {
-		current.finish(wire.RunNeverRan, nil)
+		current.finish(wire.RunAbandoned, nil)
 		o.runs.remove(current)
 		if err != nil {
 			return nil, err
@@ -140,7 +140,7 @@
 // abandon withdraws the claim of a run that did not reach the back end.
 func (o *once) abandon(group int, current *run) {
 	id := current.ID()
-	current.finish(wire.RunNeverRan, nil)
+	current.finish(wire.RunAbandoned, nil)
 	o.runs.remove(current)
 	o.process.Go(func() { o.withdraw(group, current.key, id) })
 }
--- a/plugin/once/replicas.go
+++ b/plugin/once/replicas.go
@@ -152,7 +152,7 @@
 	}
 	reply := wire.OutcomeReply{State: wire.RunUnknown}
 	if request.Runner == o.self.ID {
-		reply.State = wire.RunNeverRan // Every run that reached the back end is in the table.
+		reply.State = wire.RunAbandoned // Every run that reached the back end is in the table.
 		if known := o.runs.find(request.Key, request.Run); known != nil {
 			reply.State, reply.Answer = known.outcome()
 		}
--- a/plugin/routing/answer.go
+++ b/plugin/routing/answer.go
@@ -24,13 +24,13 @@
 		return nil, result.New(result.AnswerMismatch, "node %s answered another request", a.target.ID)
 	}
 	a.recordReport(&report)
-	a.call.Budget.ReturnUnused(a.delegated, report.Unspent)
+	a.call.Budget.ReturnUnused(a.delegated, report.UnusedRetries)
 	if response.Header.Get(result.HeaderCode) != "" {
 		defer response.Body.Close()
 		return nil, readRefusal(response)
 	}
 	wire.RemoveInternal(response.Header)
-	return &kernel.Answer{Response: response, CausedDownstream: report.Inherited}, nil
+	return &kernel.Answer{Response: response, CausedDownstream: report.CausedDownstream}, nil
 }
 
 // recordReport records what a node reports about itself and about the services that its back end
@@ -42,7 +42,7 @@
 	if report.LoadKnown {
 		a.balancer.SetLoad(now, node, report.Load)
 	}
-	a.balancer.SetFaults(now, node, report.Faults)
+	a.balancer.SetFaults(now, node, report.FaultRate)
 	a.balancer.SetLevel(now, node, path, report.Level)
 	if report.Level > 0 {
 		recordLevel(a.call, a.balancer.Level(now, path))
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -100,15 +100,15 @@
 func (a *attempt) header() http.Header {
 	call, process := a.call, a.router.process
 	callContext := wire.CallContext{
-		Service:   call.Service,
-		Request:   call.Request,
-		Attempt:   call.Attempt,
-		Priority:  call.Priority,
-		Remaining: call.Deadline.Left(),
-		Budget:    a.delegated,
-		Hops:      call.Hops,
-		Target:    call.Policy.TargetLatency,
-		Repeat:    call.IsRetry,
+		Service:        call.Service,
+		Request:        call.Request,
+		Attempt:        call.Attempt,
+		Priority:       call.Priority,
+		Remaining:      call.Deadline.Left(),
+		RetryAllowance: a.delegated,
+		Hops:           call.Hops,
+		TargetLatency:  call.Policy.TargetLatency,
+		IsRetry:        call.IsRetry,
 	}
 	process.WriteContext(call, &callContext)
 	header := call.Header.Clone()
--- a/wire/claims.go
+++ b/wire/claims.go
@@ -79,10 +79,10 @@
 
 // Run states.
 const (
-	RunUnknown  RunState = iota // the answering process does not know the run
-	RunNeverRan                 // the run was abandoned before it started
-	RunActive                   // the run is in progress
-	RunFinished                 // the run has ended
+	RunUnknown   RunState = iota // the answering process does not know the run
+	RunAbandoned                 // the run was abandoned before it started
+	RunActive                    // the run is in progress
+	RunFinished                  // the run has ended
 )
 
 // OutcomeReply is the runner's answer to an OutcomeRequest.
--- a/wire/context.go
+++ b/wire/context.go
@@ -18,15 +18,15 @@
 	Priority int
 	// Remaining is the time until the call's deadline, sent in whole microseconds.
 	Remaining time.Duration
-	// Budget is the number of retries that are delegated with the call.
-	Budget int
+	// RetryAllowance is the number of retries that are delegated with the call.
+	RetryAllowance int
 	// Hops is the number of calls above this one in the call graph.
 	Hops int
-	// Target is the target latency of the call's route, sent in milliseconds.
-	Target time.Duration
-	// Repeat is true if this attempt, or one above it in the call graph, is not the first
+	// TargetLatency is the target latency of the call's route, sent in milliseconds.
+	TargetLatency time.Duration
+	// IsRetry is true if this attempt, or one above it in the call graph, is not the first
 	// attempt of its call.
-	Repeat bool
+	IsRetry bool
 	// ClaimKey is the key under which the call may run at most once, "" for a repeatable
 	// call.
 	ClaimKey string
@@ -34,16 +34,16 @@
 
 // Names of the values of a CallContext in the header.
 const (
-	nameService   = "service"
-	nameRequest   = "request"
-	nameAttempt   = "attempt"
-	namePriority  = "priority"
-	nameRemaining = "left"
-	nameBudget    = "budget"
-	nameHops      = "hops"
-	nameTarget    = "target"
-	nameRepeat    = "repeat"
-	nameClaimKey  = "claim"
+	nameService        = "service"
+	nameRequest        = "request"
+	nameAttempt        = "attempt"
+	namePriority       = "priority"
+	nameRemaining      = "left"
+	nameRetryAllowance = "budget"
+	nameHops           = "hops"
+	nameTargetLatency  = "target"
+	nameIsRetry        = "repeat"
+	nameClaimKey       = "claim"
 )
 
 // Write sets HeaderCall.
@@ -54,10 +54,10 @@
 	list.addText(nameAttempt, c.Attempt)
 	list.addNumber(namePriority, int64(c.Priority))
 	list.addNumber(nameRemaining, c.Remaining.Microseconds())
-	list.addNumber(nameBudget, int64(c.Budget))
+	list.addNumber(nameRetryAllowance, int64(c.RetryAllowance))
 	list.addNumber(nameHops, int64(c.Hops))
-	list.addNumber(nameTarget, c.Target.Milliseconds())
-	list.addFlag(nameRepeat, c.Repeat)
+	list.addNumber(nameTargetLatency, c.TargetLatency.Milliseconds())
+	list.addFlag(nameIsRetry, c.IsRetry)
 	list.addText(nameClaimKey, c.ClaimKey)
 	header[HeaderCall] = []string{list.String()}
 }
@@ -77,14 +77,14 @@
 			c.Priority = int(parseNumber(value))
 		case nameRemaining:
 			c.Remaining = time.Duration(parseNumber(value)) * time.Microsecond
-		case nameBudget:
-			c.Budget = int(parseNumber(value))
+		case nameRetryAllowance:
+			c.RetryAllowance = int(parseNumber(value))
 		case nameHops:
 			c.Hops = int(parseNumber(value))
-		case nameTarget:
-			c.Target = time.Duration(parseNumber(value)) * time.Millisecond
-		case nameRepeat:
-			c.Repeat = value == "1"
+		case nameTargetLatency:
+			c.TargetLatency = time.Duration(parseNumber(value)) * time.Millisecond
+		case nameIsRetry:
+			c.IsRetry = value == "1"
 		case nameClaimKey:
 			c.ClaimKey = value
 		}
--- a/wire/context_test.go
+++ b/wire/context_test.go
@@ -13,7 +13,7 @@
 	for name, sent := range map[string]CallContext{
 		"all fields": {
 			Service: "a=b, c&d/é", Request: "r-1", Attempt: "a-1", Priority: 1023, Remaining: 1500 * time.Microsecond,
-			Budget: 8, Hops: 21, Target: 300 * time.Millisecond, Repeat: true, ClaimKey: "00ff",
+			RetryAllowance: 8, Hops: 21, TargetLatency: 300 * time.Millisecond, IsRetry: true, ClaimKey: "00ff",
 		},
 		"some fields": {Service: "s", Request: "r", Attempt: "a", Remaining: time.Second},
 		"no fields":   {},
@@ -30,8 +30,8 @@
 func TestReportRoundTrip(t *testing.T) {
 	for name, sent := range map[string]Report{
 		"all fields": {
-			Attempt: "a-1", Unspent: 3, Level: 900, Pressure: 12.5, LoadKnown: true, Load: 1.4,
-			Faults: 0.12, Inherited: true, Leaving: true, Replayed: true,
+			Attempt: "a-1", UnusedRetries: 3, Level: 900, Pressure: 12.5, LoadKnown: true, Load: 1.4,
+			FaultRate: 0.12, CausedDownstream: true, Leaving: true, Replayed: true,
 		},
 		"unknown load": {Attempt: "a"},
 		"no fields":    {},
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -62,7 +62,7 @@
 		{"claim while claims are collected", int(claims.Syncing), 4},
 		{"claim while the memory is full", int(claims.Full), 5},
 		{"run unknown", int(wire.RunUnknown), 0},
-		{"run abandoned", int(wire.RunNeverRan), 1},
+		{"run abandoned", int(wire.RunAbandoned), 1},
 		{"run active", int(wire.RunActive), 2},
 		{"run finished", int(wire.RunFinished), 3},
 	} {
--- a/wire/report.go
+++ b/wire/report.go
@@ -6,26 +6,26 @@
 type Report struct {
 	// Attempt is the value of CallContext.Attempt.
 	Attempt string
-	// Unspent is the number of delegated retries (CallContext.Budget) that were not used.
-	Unspent int
+	// UnusedRetries is the number of delegated retries (CallContext.RetryAllowance) that were not used.
+	UnusedRetries int
 	// Level is the lowest priority that would be admitted now by the node and by all
 	// nodes that it called for this request, 0 to 1024.
 	Level int
 	// Pressure is the highest pressure that the request encountered at this node or at the
 	// nodes below it: the time waited for a slot as a multiple of the policy's queue time.
-	// It is sent in whole percent, as are Load and Faults.
+	// It is sent in whole percent, as are Load and FaultRate.
 	Pressure float64
 	// LoadKnown is true if the node reported its load.
 	LoadKnown bool
 	// Load of the node: running and waiting requests, as a share of the requests that its
 	// back end runs concurrently.
 	Load float64
-	// Faults is the share of recent requests that failed through the back end's own fault:
+	// FaultRate is the share of recent requests that failed through the back end's own fault:
 	// answers that were lost or malformed, and failures of the back end itself.
-	Faults float64
-	// Inherited is true if the back end failed because a call of its own had failed. The
+	FaultRate float64
+	// CausedDownstream is true if the back end failed because a call of its own had failed. The
 	// answer is then no evidence of a fault of the back end.
-	Inherited bool
+	CausedDownstream bool
 	// Leaving is true if the answering node is stopping.
 	Leaving bool
 	// Replayed is true if the answer was stored by an earlier run.
@@ -34,29 +34,29 @@
 
 // Names of the values of a Report in the header. It also uses nameAttempt.
 const (
-	nameUnspent   = "unspent"
-	nameLevel     = "level"
-	namePressure  = "pressure"
-	nameLoad      = "load"
-	nameFaults    = "faults"
-	nameInherited = "inherited"
-	nameLeaving   = "leaving"
-	nameReplayed  = "replayed"
+	nameUnusedRetries    = "unspent"
+	nameLevel            = "level"
+	namePressure         = "pressure"
+	nameLoad             = "load"
+	nameFaultRate        = "faults"
+	nameCausedDownstream = "inherited"
+	nameLeaving          = "leaving"
+	nameReplayed         = "replayed"
 )
 
 // Write sets HeaderReport.
 func (r *Report) Write(header http.Header) {
 	list := newListWriter()
 	list.addText(nameAttempt, r.Attempt)
-	list.addNumber(nameUnspent, int64(r.Unspent))
+	list.addNumber(nameUnusedRetries, int64(r.UnusedRetries))
 	list.addNumber(nameLevel, int64(r.Level))
 	list.addNumber(namePressure, toPercent(r.Pressure))
 	if r.LoadKnown {
 		// The list leaves out zeros, so an idle node sends 1% instead of 0.
 		list.addNumber(nameLoad, max(toPercent(r.Load), 1))
 	}
-	list.addNumber(nameFaults, toPercent(r.Faults))
-	list.addFlag(nameInherited, r.Inherited)
+	list.addNumber(nameFaultRate, toPercent(r.FaultRate))
+	list.addFlag(nameCausedDownstream, r.CausedDownstream)
 	list.addFlag(nameLeaving, r.Leaving)
 	list.addFlag(nameReplayed, r.Replayed)
 	header[HeaderReport] = []string{list.String()}
@@ -69,8 +69,8 @@
 		switch name {
 		case nameAttempt:
 			r.Attempt = value
-		case nameUnspent:
-			r.Unspent = int(parseNumber(value))
+		case nameUnusedRetries:
+			r.UnusedRetries = int(parseNumber(value))
 		case nameLevel:
 			r.Level = int(parseNumber(value))
 		case namePressure:
@@ -78,10 +78,10 @@
 		case nameLoad:
 			r.Load = fromPercent(max(parseNumber(value), 0))
 			r.LoadKnown = r.Load > 0
-		case nameFaults:
-			r.Faults = fromPercent(parseNumber(value))
-		case nameInherited:
-			r.Inherited = value == "1"
+		case nameFaultRate:
+			r.FaultRate = fromPercent(parseNumber(value))
+		case nameCausedDownstream:
+			r.CausedDownstream = value == "1"
 		case nameLeaving:
 			r.Leaving = value == "1"
 		case nameReplayed:
