--- a/plugin/retry/retrier.go
+++ b/plugin/retry/retrier.go
@@ -69,12 +69,12 @@
 		return
 	}
 	s.Err = result.From(err)
-	s.Unavailable = s.Unavailable || s.Err.Code.Conclusion().Absent
+	s.Unavailable = s.Unavailable || s.Err.Code.Conclusion().Unavailable
 }
 
 // recordPressure records pressure for a call whose last attempt the back end refused.
 func recordPressure(call *kernel.Call, err error) {
-	if err != nil && result.From(err).Code.Conclusion().ByBackEnd {
+	if err != nil && result.From(err).Code.Conclusion().RefusedByBackEnd {
 		call.RecordPressure(admission.RefusedPressure)
 	}
 }
--- a/plugin/routing/outcome.go
+++ b/plugin/routing/outcome.go
@@ -19,7 +19,7 @@
 	switch {
 	case evidence == result.NoEvidence:
 		return balance.Unknown
-	case evidence == result.ByRun && typed.NotRun():
+	case evidence == result.ByOutcome && typed.NotRun():
 		return balance.Refused
 	default:
 		return balance.Failed
--- a/result/conclusion.go
+++ b/result/conclusion.go
@@ -6,12 +6,12 @@
 type Conclusion struct {
 	// Next is the expected result of another attempt.
 	Next Next
-	// Absent means that no node or back end was available or ready, which is usually
+	// Unavailable means that no node or back end was available or ready, which is usually
 	// temporary, as during a restart.
-	Absent bool
-	// ByBackEnd means that the back end itself refused the request. Since the attempt
+	Unavailable bool
+	// RefusedByBackEnd means that the back end itself refused the request. Since the attempt
 	// reached the back end, it counts in the budgets that bound such attempts.
-	ByBackEnd bool
+	RefusedByBackEnd bool
 	// Overload means that the request was refused for lack of capacity. The gate of its
 	// route estimates when capacity is available again.
 	Overload bool
@@ -26,16 +26,16 @@
 
 // Expected results of another attempt.
 const (
-	// Alike means the same result, or that another attempt must not be made.
-	Alike Next = iota
+	// SameResult means the same result, or that another attempt must not be made.
+	SameResult Next = iota
 	// OtherNode means that the request did not run and another node may serve it.
 	OtherNode
 	// FasterNode is OtherNode, provided that the remaining time is enough for a faster
 	// node.
 	FasterNode
-	// Unclear means that the request may have run, and that another attempt may get an
+	// MayHaveRun means that the request may have run, and that another attempt may get an
 	// answer.
-	Unclear
+	MayHaveRun
 )
 
 // NodeEvidence is the evidence that an attempt gives about the node to which it was sent.
@@ -43,9 +43,9 @@
 
 // Kinds of evidence.
 const (
-	// ByRun means that the node refused the request if it did not run, and failed
+	// ByOutcome means that the node refused the request if it did not run, and failed
 	// otherwise.
-	ByRun NodeEvidence = iota
+	ByOutcome NodeEvidence = iota
 	// NodeFailed means that the node failed although the request did not run.
 	NodeFailed
 	// NoEvidence means that the result was caused by the request or its caller.
@@ -57,20 +57,20 @@
 	Overloaded:         {Next: OtherNode, Overload: true},
 	ShedEarly:          {Overload: true},
 	DeadlineTooShort:   {Next: FasterNode, Node: NoEvidence},
-	Draining:           {Next: OtherNode, Absent: true},
-	NoNode:             {Absent: true},
+	Draining:           {Next: OtherNode, Unavailable: true},
+	NoNode:             {Unavailable: true},
 	ClaimUnavailable:   {Next: OtherNode},
-	BackendUnreachable: {Next: OtherNode, Absent: true},
-	NotReady:           {Next: OtherNode, Absent: true},
+	BackendUnreachable: {Next: OtherNode, Unavailable: true},
+	NotReady:           {Next: OtherNode, Unavailable: true},
 	CallerGone:         {Node: NoEvidence},
-	NodeRefused:        {Next: OtherNode, Absent: true, Node: NodeFailed},
-	BackendRefused:     {Next: OtherNode, ByBackEnd: true, Overload: true},
-	BackendLeft:        {Next: OtherNode, Absent: true},
+	NodeRefused:        {Next: OtherNode, Unavailable: true, Node: NodeFailed},
+	BackendRefused:     {Next: OtherNode, RefusedByBackEnd: true, Overload: true},
+	BackendLeft:        {Next: OtherNode, Unavailable: true},
 	RequestQuarantined: {Node: NoEvidence},
-	DeadlineExceeded:   {Next: Unclear},
-	ConnectionLost:     {Next: Unclear, BackEndFault: true},
+	DeadlineExceeded:   {Next: MayHaveRun},
+	ConnectionLost:     {Next: MayHaveRun, BackEndFault: true},
 	CallerCancelled:    {Node: NoEvidence},
-	AnswerMismatch:     {Next: Unclear, BackEndFault: true},
+	AnswerMismatch:     {Next: MayHaveRun, BackEndFault: true},
 	CrashSuspected:     {BackEndFault: true},
 }
 
--- a/result/conclusion_test.go
+++ b/result/conclusion_test.go
@@ -16,10 +16,10 @@
 		switch conclusion.Next {
 		case OtherNode, FasterNode:
 			is.True(notRun)
-		case Unclear:
+		case MayHaveRun:
 			is.True(!notRun)
 		}
-		if conclusion.Absent || conclusion.ByBackEnd {
+		if conclusion.Unavailable || conclusion.RefusedByBackEnd {
 			is.True(notRun)
 		}
 		if conclusion.BackEndFault {
--- a/result/retryafter.go
+++ b/result/retryafter.go
@@ -7,7 +7,7 @@
 // the wait:
 //
 //   - overload (Conclusion.Overload): the time until the gate of the route admits
-//     everything again (admission.Gate.Reopens, spread by SpreadWait)
+//     everything again (admission.Gate.ReopensAfter, spread by SpreadWait)
 //   - QuotaExceeded: the time until the tenant's bucket has a token (quota.Decision)
 //   - RequestQuarantined: the time until the quarantine of the request ends
 //     (quarantine.Ledger)
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -119,7 +119,7 @@
 		return true
 	case result.FasterNode:
 		return s.Left > MinimumTimeElsewhere
-	case result.Unclear:
+	case result.MayHaveRun:
 		return s.Repeatable || (s.Claims && s.Err != nil)
 	default:
 		return false
@@ -132,14 +132,14 @@
 		return nextAfterStatus(s.Status)
 	}
 	expected := s.Err.Code.Conclusion().Next
-	if s.Err.NotRun() || expected == result.Unclear {
+	if s.Err.NotRun() || expected == result.MayHaveRun {
 		return expected
 	}
 	// The request may have run at a node that was tried before the one that refused.
 	if expected == result.OtherNode {
-		return result.Unclear
+		return result.MayHaveRun
 	}
-	return result.Alike
+	return result.SameResult
 }
 
 // nextAfterStatus returns the expected result of another attempt after an answer of the
@@ -148,16 +148,16 @@
 func nextAfterStatus(status int) result.Next {
 	switch status {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return result.Unclear
+		return result.MayHaveRun
 	default:
-		return result.Alike
+		return result.SameResult
 	}
 }
 
 // arrived reports whether an attempt that may be followed by another one may have arrived
 // at a back end.
 func arrived(s Situation) bool {
-	return next(s) == result.Unclear || s.Err.Code.Conclusion().ByBackEnd
+	return next(s) == result.MayHaveRun || s.Err.Code.Conclusion().RefusedByBackEnd
 }
 
 // mayPause reports whether a call that no node accepted may be offered again after a pause:
@@ -165,7 +165,7 @@
 // A call that a back end refused has arrived there, so that sending it again takes a retry
 // from the budgets.
 func mayPause(s Situation) bool {
-	notTaken := s.Err != nil && s.Err.NotRun() && !s.Err.Code.Conclusion().ByBackEnd
+	notTaken := s.Err != nil && s.Err.NotRun() && !s.Err.Code.Conclusion().RefusedByBackEnd
 	return notTaken && s.Unavailable && s.SharedBudget && s.HasUpstreamWork && s.Sendable &&
 		s.Left > UnavailablePause+MinimumTimeElsewhere
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -15,7 +15,7 @@
 func situationAfter(code result.Code) Situation {
 	return Situation{
 		Err: result.New(code, "test"), Repeatable: true, HasUpstreamWork: true, Sendable: true,
-		Left: time.Minute, SharedBudget: true, Offers: 1, Unavailable: code.Conclusion().Absent,
+		Left: time.Minute, SharedBudget: true, Offers: 1, Unavailable: code.Conclusion().Unavailable,
 	}
 }
 
