--- a/plugin/configsync/watch.go
+++ b/plugin/configsync/watch.go
@@ -139,11 +139,11 @@
 	if d.name == wire.DocumentPolicy && (entry.Exists || !s.process.Settings.PolicyRequired) {
 		s.confirmed.Store(true)
 	}
-	if entry.Watch < w.position {
+	if entry.WatchPosition < w.position {
 		w.position = 0 // The store was reset: read it again.
 		return nil
 	}
-	w.position = max(entry.Watch, 1)
+	w.position = max(entry.WatchPosition, 1)
 	return nil
 }
 
--- a/plugin/configsync/watch_test.go
+++ b/plugin/configsync/watch_test.go
@@ -39,7 +39,7 @@
 	}
 	document := policy.Document{Revision: s.revision}
 	data, err := document.Encode()
-	return store.Entry{Value: data, Index: s.revision, Exists: true, Watch: s.revision}, err
+	return store.Entry{Value: data, Index: s.revision, Exists: true, WatchPosition: s.revision}, err
 }
 
 func (s *hangingStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (store.Entry, error) {
--- a/store/consulkv/store.go
+++ b/store/consulkv/store.go
@@ -54,7 +54,7 @@
 		return store.Entry{}, result.Wrap(result.StoreUnavailable, err, "the store's answer has no valid X-Consul-Index header")
 	}
 	if got.status == http.StatusNotFound {
-		return store.Entry{Watch: position}, nil
+		return store.Entry{WatchPosition: position}, nil
 	}
 	var pairs []pair
 	if err := decode(got, &pairs); err != nil {
@@ -63,7 +63,7 @@
 	if len(pairs) != 1 {
 		return store.Entry{}, result.New(result.StoreUnavailable, "the store answered with %d rows for one key", len(pairs))
 	}
-	return store.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex, Exists: true, Watch: position}, nil
+	return store.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex, Exists: true, WatchPosition: position}, nil
 }
 
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
--- a/store/store.go
+++ b/store/store.go
@@ -17,8 +17,8 @@
 	Value  []byte
 	Index  uint64 // changes with each write of the key; 0 if the key does not exist
 	Exists bool
-	// Watch is the position to pass to Store.Watch in order to wait for the next change.
-	Watch uint64
+	// WatchPosition is the position to pass to Store.Watch in order to wait for the next change.
+	WatchPosition uint64
 }
 
 // Store is the platform's key-value service. Errors are of type *result.Error. The code is
--- a/store/storetest/contract.go
+++ b/store/storetest/contract.go
@@ -162,12 +162,12 @@
 	is.NoErr(err)
 	entry, err := s.Store.Get(ctx, "contract/watch")
 	is.NoErr(err)
-	unchanged, err := s.Store.Watch(ctx, "contract/watch", entry.Watch, 20*time.Millisecond)
+	unchanged, err := s.Store.Watch(ctx, "contract/watch", entry.WatchPosition, 20*time.Millisecond)
 	is.NoErr(err)
 	is.Equal(unchanged.Index, entry.Index)
 	seen := make(chan store.Entry, 1)
 	go func() {
-		changed, watchErr := s.Store.Watch(ctx, "contract/watch", entry.Watch, 30*time.Second)
+		changed, watchErr := s.Store.Watch(ctx, "contract/watch", entry.WatchPosition, 30*time.Second)
 		if watchErr == nil {
 			seen <- changed
 		}
