--- a/kernel/peer.go
+++ b/kernel/peer.go
@@ -49,7 +49,7 @@
 	if c.onClose == nil {
 		return
 	}
-	if socket.Ended(c.Conn) {
+	if socket.PeerClosed(c.Conn) {
 		c.onClose()
 		return
 	}
--- a/transport/socket/inspect.go
+++ b/transport/socket/inspect.go
@@ -15,9 +15,9 @@
 	return quiet || !hasDescriptor
 }
 
-// Ended reports whether the peer has closed its side of a connection, even if bytes
+// PeerClosed reports whether the peer has closed its side of a connection, even if bytes
 // are still unread. It returns false if conn has no descriptor to inspect.
-func Ended(conn net.Conn) bool {
+func PeerClosed(conn net.Conn) bool {
 	ended := false
 	inspect(conn, func(descriptor uintptr) {
 		poll := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
--- a/transport/socket/socket_test.go
+++ b/transport/socket/socket_test.go
@@ -94,10 +94,10 @@
 	_, err = near.Read(make([]byte, 1))
 	is.NoErr(err)
 	is.True(Quiet(near)) // Quiet must not consume bytes
-	is.True(!Ended(near))
+	is.True(!PeerClosed(near))
 	far.Close()
 	eventually(t, func() bool { return !Quiet(near) })
-	eventually(t, func() bool { return Ended(near) })
+	eventually(t, func() bool { return PeerClosed(near) })
 	near.Close()
 	is.True(!Quiet(near)) // closed locally
 }
@@ -110,7 +110,7 @@
 	defer near.Close()
 	defer far.Close()
 	is.True(Quiet(near))
-	is.True(!Ended(near))
+	is.True(!PeerClosed(near))
 }
 
 func eventually(t *testing.T, holds func() bool) {
