--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -22,12 +22,12 @@
 
 var next atomic.Int64
 
-// ErrNone is returned when no port is free.
-var ErrNone = errors.New("no free port between 20000 and 32000")
+// ErrNoFreePort is returned when no port is free.
+var ErrNoFreePort = errors.New("no free port between 20000 and 32000")
 
 // Address returns a loopback address on which nothing listens. Within a process, it
 // does not return an address again until it has tried all other ports. It returns
-// ErrNone if no port is free.
+// ErrNoFreePort if no port is free.
 func Address() (string, error) {
 	for range lastPort - firstPort {
 		port := firstPort + (int64(os.Getpid())*portsPerProcess+next.Add(1))%(lastPort-firstPort)
@@ -38,5 +38,5 @@
 			return address, nil
 		}
 	}
-	return "", ErrNone
+	return "", ErrNoFreePort
 }
