--- a/internal/labcli/replay.go
+++ b/internal/labcli/replay.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			return err
 		}
-		mismatches, err := replay.Play(trace)
+		mismatches, err := replay.Run(trace)
 		if err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -17,7 +17,7 @@
 			is := is.New(t)
 			trace, err := Load(file)
 			is.NoErr(err)
-			mismatches, err := Play(trace)
+			mismatches, err := Run(trace)
 			is.NoErr(err)
 			for _, mismatch := range mismatches {
 				t.Error(mismatch)
@@ -30,10 +30,10 @@
 func TestMismatchReported(t *testing.T) {
 	is := is.New(t)
 	trace := Trace{Player: "spread", Steps: []Step{{Do: "offer", Count: 2, Expect: "revision 2"}, {Do: "offer", Count: 1, Expect: "revision 1"}}}
-	mismatches, err := Play(trace)
+	mismatches, err := Run(trace)
 	is.NoErr(err)
 	is.Equal(len(mismatches), 1)
 	is.Equal(mismatches[0].Number, 2)
-	_, err = Play(Trace{Player: "spread", Steps: []Step{{Do: "sing"}}})
+	_, err = Run(Trace{Player: "spread", Steps: []Step{{Do: "sing"}}})
 	is.True(err != nil)
 }
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -96,9 +96,9 @@
 	return fmt.Sprintf("step %d at %s, %s %s: got %q, want %q", m.Number, m.Step.At, m.Step.Do, m.Step.Who, m.Got, m.Step.Expect)
 }
 
-// Play runs a trace and returns the steps whose outcome differs from the expected one. It
+// Run runs a trace and returns the steps whose outcome differs from the expected one. It
 // returns an error for an unknown action.
-func Play(trace Trace) ([]Mismatch, error) {
+func Run(trace Trace) ([]Mismatch, error) {
 	r := runners[trace.Player](trace.Setting)
 	mismatches := []Mismatch{}
 	for i, step := range trace.Steps {
