--- a/internal/labcli/soak.go
+++ b/internal/labcli/soak.go
@@ -34,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		report, err := soak.Run(ctx, soak.Config{Program: c.Program, Folder: folder, Nodes: c.Nodes, Seed: seed, For: c.For, Log: c.log})
+		report, err := soak.Run(ctx, soak.Config{Program: c.Program, Folder: folder, Nodes: c.Nodes, Seed: seed, Duration: c.For, Log: c.log})
 		if err != nil {
 			return err
 		}
@@ -79,7 +79,7 @@
 		report.Seed, report.Seconds, report.Served["lookup"], report.Sent["lookup"], report.Served["payment"], report.Sent["payment"],
 		report.Crashes, len(report.Violations))
 	for _, violation := range report.Violations {
-		fmt.Printf("  %7.3f s  %s: %s\n", violation.At.Seconds(), violation.Promise, violation.What)
+		fmt.Printf("  %7.3f s  %s: %s\n", violation.At.Seconds(), violation.Invariant, violation.What)
 	}
 	return nil
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Promise is a property that must hold during a soak.
-type Promise string
+// Invariant is a property that must hold during a soak.
+type Invariant string
 
 // Promises, with the texts that reports show.
 const (
-	CompleteAnswer       Promise = "every caller gets the whole answer to its own request"
-	AtMostOnce           Promise = "a request that may not be repeated runs at most once"
-	RefusedNotRun        Promise = "what is refused as not run has not run and never will"
-	OnlySentRequests     Promise = "back ends run nothing that no caller sent"
-	NoRequestsAfterDrain Promise = "a back end that is leaving gets no new requests"
-	CrashesBounded       Promise = "a request that crashes back ends is stopped after the third"
-	NoUnexpectedExit     Promise = "processes end only when they are told to"
-	Recovery             Promise = "requests are served again after the faults"
-	PlannedStop          Promise = "a planned stop cuts off no request"
+	CompleteAnswer       Invariant = "every caller gets the whole answer to its own request"
+	AtMostOnce           Invariant = "a request that may not be repeated runs at most once"
+	RefusedNotRun        Invariant = "what is refused as not run has not run and never will"
+	OnlySentRequests     Invariant = "back ends run nothing that no caller sent"
+	NoRequestsAfterDrain Invariant = "a back end that is leaving gets no new requests"
+	CrashesBounded       Invariant = "a request that crashes back ends is stopped after the third"
+	NoUnexpectedExit     Invariant = "processes end only when they are told to"
+	Recovery             Invariant = "requests are served again after the faults"
+	PlannedStop          Invariant = "a planned stop cuts off no request"
 )
 
 // Violation is a broken promise.
 type Violation struct {
-	Promise Promise       `json:"promise"`
-	At      time.Duration `json:"at"` // Time since the start of the soak.
-	What    string        `json:"what"`
+	Invariant Invariant     `json:"promise"`
+	At        time.Duration `json:"at"` // Time since the start of the soak.
+	What      string        `json:"what"`
 }
 
 // Bounds of promises that allow for a delay.
@@ -187,15 +187,15 @@
 }
 
 // Violate records a broken promise that was detected outside the Checker.
-func (c *Checker) Violate(now time.Time, promise Promise, format string, arguments ...any) {
+func (c *Checker) Violate(now time.Time, promise Invariant, format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.violate(now, promise, format, arguments...)
 }
 
 // violate records a broken promise. The caller holds the mutex.
-func (c *Checker) violate(now time.Time, promise Promise, format string, arguments ...any) {
-	c.violations = append(c.violations, Violation{Promise: promise, At: now.Sub(c.started), What: fmt.Sprintf(format, arguments...)})
+func (c *Checker) violate(now time.Time, promise Invariant, format string, arguments ...any) {
+	c.violations = append(c.violations, Violation{Invariant: promise, At: now.Sub(c.started), What: fmt.Sprintf(format, arguments...)})
 }
 
 // Violations returns the broken promises recorded so far.
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -21,7 +21,7 @@
 	cases := []struct {
 		name   string
 		events func(c *Checker)
-		want   []Promise
+		want   []Invariant
 	}{
 		{"no violation", func(c *Checker) {
 			c.RequestSent("a", safe)
@@ -33,28 +33,28 @@
 		{"response of another request", func(c *Checker) {
 			c.RequestSent("a", safe)
 			c.RequestEnded(at(0), "a", Outcome{Status: 200})
-		}, []Promise{CompleteAnswer}},
+		}, []Invariant{CompleteAnswer}},
 		{"run twice", func(c *Checker) {
 			c.RequestSent("a", unsafe)
 			c.RequestStarted(at(0), "a", "i", true)
 			c.RequestStarted(at(0), "a", "j", true)
-		}, []Promise{AtMostOnce}},
+		}, []Invariant{AtMostOnce}},
 		{"refused after it ran", func(c *Checker) {
 			c.RequestSent("a", safe)
 			c.RequestStarted(at(0), "a", "i", true)
 			c.RequestEnded(at(0), "a", Outcome{Status: 503})
-		}, []Promise{RefusedNotRun}},
+		}, []Invariant{RefusedNotRun}},
 		{"run after it was refused", func(c *Checker) {
 			c.RequestSent("a", unsafe)
 			c.RequestEnded(at(0), "a", Outcome{Status: 503})
 			c.RequestStarted(at(0), "a", "i", true)
-		}, []Promise{RefusedNotRun}},
+		}, []Invariant{RefusedNotRun}},
 		{"failed after it ran", func(c *Checker) {
 			c.RequestSent("a", unsafe)
 			c.RequestStarted(at(0), "a", "i", true)
 			c.RequestEnded(at(0), "a", Outcome{Status: 502})
 		}, nil},
-		{"run but not sent", func(c *Checker) { c.RequestStarted(at(0), "a", "i", true) }, []Promise{OnlySentRequests}},
+		{"run but not sent", func(c *Checker) { c.RequestStarted(at(0), "a", "i", true) }, []Invariant{OnlySentRequests}},
 		{"draining, request in time", func(c *Checker) {
 			c.RequestSent("a", safe)
 			c.DrainAcknowledged(at(0), "i")
@@ -64,7 +64,7 @@
 			c.RequestSent("a", safe)
 			c.DrainAcknowledged(at(0), "i")
 			c.RequestStarted(at(drainTime+1), "a", "i", true)
-		}, []Promise{NoRequestsAfterDrain}},
+		}, []Invariant{NoRequestsAfterDrain}},
 		{"crashes, stopped in time", func(c *Checker) {
 			c.RequestSent("a", crashes)
 			for _, instance := range []string{"i", "j", "k", "l", "m", "n", "o"} {
@@ -76,7 +76,7 @@
 			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
 				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", instance, true)
 			}
-		}, []Promise{CrashesBounded}},
+		}, []Invariant{CrashesBounded}},
 		{"crashes, not stopped, not settled", func(c *Checker) {
 			c.RequestSent("a", crashes)
 			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
@@ -89,9 +89,9 @@
 			is := is.New(t)
 			checker := NewChecker(start)
 			c.events(checker)
-			found := []Promise(nil)
+			found := []Invariant(nil)
 			for _, violation := range checker.Violations() {
-				found = append(found, violation.Promise)
+				found = append(found, violation.Invariant)
 			}
 			is.Equal(found, c.want)
 		})
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,8 +20,8 @@
 	// Seed of the faults. The same seed gives the same series of faults; the timing of the
 	// processes varies.
 	Seed uint64
-	// For is the time during which faults are injected, 10s to 24h. Default 1m.
-	For time.Duration
+	// Duration is the time during which faults are injected, 10s to 24h. Default 1m.
+	Duration time.Duration
 	// Log receives progress messages. Default: they are discarded.
 	Log func(format string, arguments ...any)
 }
@@ -41,8 +41,8 @@
 	if c.Nodes == 0 {
 		c.Nodes = defaultNodes
 	}
-	if c.For == 0 {
-		c.For = defaultTime
+	if c.Duration == 0 {
+		c.Duration = defaultTime
 	}
 	if c.Log == nil {
 		c.Log = func(string, ...any) {}
@@ -50,8 +50,8 @@
 	if c.Nodes < minimumNodes || c.Nodes > maximumNodes {
 		return result.New(result.UsageInvalid, "a soak needs %d to %d nodes, got %d", minimumNodes, maximumNodes, c.Nodes)
 	}
-	if c.For < minimumTime || c.For > maximumTime {
-		return result.New(result.UsageInvalid, "a soak must last %s to %s, got %s", minimumTime, maximumTime, c.For)
+	if c.Duration < minimumTime || c.Duration > maximumTime {
+		return result.New(result.UsageInvalid, "a soak must last %s to %s, got %s", minimumTime, maximumTime, c.Duration)
 	}
 	if _, err := os.Stat(c.Program); err != nil {
 		return result.Wrap(result.UsageInvalid, err, "the program under test")
@@ -105,7 +105,7 @@
 // adds a new request that crashes back ends and keeps sending that of the previous cycle.
 func (c *callers) runCycles(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.fleet.config.Seed, 0))
-	sending, stop := context.WithTimeout(ctx, c.fleet.config.For)
+	sending, stop := context.WithTimeout(ctx, c.fleet.config.Duration)
 	defer stop()
 	finished := make(chan struct{})
 	go func() {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -20,13 +20,13 @@
 	if output, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("building: %v\n%s", err, output)
 	}
-	report, err := Run(t.Context(), Config{Program: program, Folder: t.TempDir(), Nodes: minimumNodes, Seed: 1, For: 30 * time.Second, Log: t.Logf})
+	report, err := Run(t.Context(), Config{Program: program, Folder: t.TempDir(), Nodes: minimumNodes, Seed: 1, Duration: 30 * time.Second, Log: t.Logf})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("sent %v, served %v, back ends crashed by each crashing request %v", report.Sent, report.Served, report.Crashes)
 	for _, violation := range report.Violations {
-		t.Errorf("%.3f s: %s: %s", violation.At.Seconds(), violation.Promise, violation.What)
+		t.Errorf("%.3f s: %s: %s", violation.At.Seconds(), violation.Invariant, violation.What)
 	}
 }
 
@@ -38,8 +38,8 @@
 		{"no program", Config{}},
 		{"too few nodes", Config{Program: "soak_test.go", Nodes: minimumNodes - 1}},
 		{"too many nodes", Config{Program: "soak_test.go", Nodes: maximumNodes + 1}},
-		{"too short", Config{Program: "soak_test.go", For: time.Second}},
-		{"too long", Config{Program: "soak_test.go", For: 48 * time.Hour}},
+		{"too short", Config{Program: "soak_test.go", Duration: time.Second}},
+		{"too long", Config{Program: "soak_test.go", Duration: 48 * time.Hour}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
