--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -309,7 +309,7 @@
 	stub.SetFaults(metastore.Faults{})
 
 	// A configuration change takes effect on every node even if watches do not report it.
-	stub.SetFaults(metastore.Faults{MuteWaits: true})
+	stub.SetFaults(metastore.Faults{BlockWatches: true})
 	stub.Put("op/config", platformConfiguration(8, "deep"))
 	for _, n := range nodes {
 		eventually(t, "the changed route to take effect", func() bool { return strings.HasPrefix(n.get("/front/x", "").body, "deep for") })
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -83,8 +83,8 @@
 		name   string
 		faults consul.Faults
 	}{
-		{"the store is slow", consul.Faults{MachineLag: time.Hour, Delay: 100 * time.Millisecond}},
-		{"the store is down", consul.Faults{MachineLag: time.Hour, Down: true}},
+		{"the store is slow", consul.Faults{MachineListLag: time.Hour, Delay: 100 * time.Millisecond}},
+		{"the store is down", consul.Faults{MachineListLag: time.Hour, Down: true}},
 	}
 	for _, rolling := range cases {
 		t.Run(rolling.name, func(t *testing.T) { replaceUnderLoad(t, rolling.faults) })
--- a/internal/lab/mesh_test.go
+++ b/internal/lab/mesh_test.go
@@ -213,7 +213,7 @@
 		fault consul.Faults
 		edits bool // whether edits succeed under the fault
 	}{
-		{"replies lost after the write", consul.Faults{LoseAnswers: 2}, true},
+		{"replies lost after the write", consul.Faults{DropResponses: 2}, true},
 		{"slow", consul.Faults{Delay: 300 * time.Millisecond}, true},
 		{"rate limited", consul.Faults{RatePerSecond: 10}, true},
 		{"an older revision is shown", consul.Faults{StaleReads: 3}, true},
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -42,7 +42,7 @@
 	{"store-silent", true, storeFault(metastore.Faults{Silent: true})},
 	{"store-refuses", true, storeFault(metastore.Faults{Status: 503})},
 	{"store-slow", true, storeFault(metastore.Faults{Delay: 700 * time.Millisecond})},
-	{"store-mute", true, storeFault(metastore.Faults{MuteWaits: true})},
+	{"store-mute", true, storeFault(metastore.Faults{BlockWatches: true})},
 	{"edit", false, func(f *fleet, _ *node, _ time.Duration) { f.edit() }},
 	{"crash-backend", true, crashBackend},
 	{"drain-backend", false, drainBackend},
--- a/internal/standin/consul/machines.go
+++ b/internal/standin/consul/machines.go
@@ -60,7 +60,7 @@
 func (s *Server) listMachines(w http.ResponseWriter, r *http.Request) {
 	rows := []consulkv.CatalogRow{}
 	if r.PathValue("name") == consulkv.CatalogService {
-		rows = s.machines.at(time.Now().Add(-s.Faults().MachineLag))
+		rows = s.machines.at(time.Now().Add(-s.Faults().MachineListLag))
 	}
 	keyvalue.WriteJSON(w, http.StatusOK, rows)
 }
--- a/internal/standin/keyvalue/faults.go
+++ b/internal/standin/keyvalue/faults.go
@@ -10,16 +10,16 @@
 
 // Faults are the faults that a stub injects. The zero value injects none.
 type Faults struct {
-	Down          bool          // Close connections without a response.
-	Silent        bool          // Never respond.
-	Status        int           // Respond with this status without executing the call. 0: off.
-	Garbage       bool          // Respond with a body that is not JSON, without executing the call.
-	Delay         time.Duration // Delay before each call is executed.
-	LoseAnswers   int           // Number of writes to execute without a response.
-	RatePerSecond int           // Reject calls above this rate with status 429. 0: no limit; negative: reject all.
-	StaleReads    int           // Number of reads that return the previous value of the key.
-	MuteWaits     bool          // Never respond to blocking reads, even after a change.
-	MachineLag    time.Duration // Age of the machine list that is returned.
+	Down           bool          // Close connections without a response.
+	Silent         bool          // Never respond.
+	Status         int           // Respond with this status without executing the call. 0: off.
+	Garbage        bool          // Respond with a body that is not JSON, without executing the call.
+	Delay          time.Duration // Delay before each call is executed.
+	DropResponses  int           // Number of writes to execute without a response.
+	RatePerSecond  int           // Reject calls above this rate with status 429. 0: no limit; negative: reject all.
+	StaleReads     int           // Number of reads that return the previous value of the key.
+	BlockWatches   bool          // Never respond to blocking reads, even after a change.
+	MachineListLag time.Duration // Age of the machine list that is returned.
 }
 
 // faultState holds the active faults and the counter of the rate limit.
@@ -41,10 +41,10 @@
 // executed count.
 func (f *faultState) takeLostAnswer(method string) bool {
 	refused := f.current.Down || f.current.Silent || f.current.Status != 0 || f.current.Garbage
-	if method == http.MethodGet || refused || f.current.LoseAnswers == 0 {
+	if method == http.MethodGet || refused || f.current.DropResponses == 0 {
 		return false
 	}
-	f.current.LoseAnswers--
+	f.current.DropResponses--
 	return true
 }
 
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -83,13 +83,13 @@
 }
 
 // Wait blocks until a condition holds or the time limit is reached. It returns false when
-// the caller has disconnected; while Faults.MuteWaits is set it blocks until then.
+// the caller has disconnected; while Faults.BlockWatches is set it blocks until then.
 func (s *Store) Wait(r *http.Request, limit time.Duration, condition func(data *Data) bool) bool {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
 	for {
 		s.mutex.Lock()
-		reached, changed, mute := condition(&s.data), s.changed, s.faults.current.MuteWaits
+		reached, changed, mute := condition(&s.data), s.changed, s.faults.current.BlockWatches
 		s.mutex.Unlock()
 		if mute {
 			<-r.Context().Done()
@@ -142,8 +142,8 @@
 	return events
 }
 
-// ForgetHistory drops the history up to the current revision.
-func (d *Data) ForgetHistory() { d.history, d.Oldest = nil, d.Revision }
+// CompactHistory drops the history up to the current revision.
+func (d *Data) CompactHistory() { d.history, d.Oldest = nil, d.Revision }
 
 // Grant creates a lease. With a time to live of 0 it lasts until it is revoked.
 func (d *Data) Grant(ttl time.Duration) (id int64) {
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -37,8 +37,8 @@
 	s.Update(func(data *keyvalue.Data) { data.Put(keyvalue.Item{Key: key, Value: value}) })
 }
 
-// ForgetHistory drops the history, so that watches from an earlier revision get status 410.
-func (s *Server) ForgetHistory() { s.Update((*keyvalue.Data).ForgetHistory) }
+// CompactHistory drops the history, so that watches from an earlier revision get status 410.
+func (s *Server) CompactHistory() { s.Update((*keyvalue.Data).CompactHistory) }
 
 // Handler returns the handler of the protocol, with the active faults in front.
 func (s *Server) Handler() http.Handler {
--- a/policy/editor/editor_test.go
+++ b/policy/editor/editor_test.go
@@ -65,8 +65,8 @@
 		revision uint64      // read after the fault was removed
 	}{
 		{"healthy", consul.Faults{}, set("t/f/s", "retry_budget", "5"), 0, 1},
-		{"answer lost after the write", consul.Faults{LoseAnswers: 1}, set("t/f/s", "retry_budget", "5"), 0, 1},
-		{"answers lost twice", consul.Faults{LoseAnswers: 2}, set("t/f/s", "retry_budget", "5"), 0, 1},
+		{"answer lost after the write", consul.Faults{DropResponses: 1}, set("t/f/s", "retry_budget", "5"), 0, 1},
+		{"answers lost twice", consul.Faults{DropResponses: 2}, set("t/f/s", "retry_budget", "5"), 0, 1},
 		{"down", consul.Faults{Down: true}, set("t/f/s", "retry_budget", "5"), result.StoreUnavailable, 0},
 		{"rate limited", consul.Faults{RatePerSecond: -1}, set("t/f/s", "retry_budget", "5"), result.StoreUnavailable, 0},
 		{"out of range", consul.Faults{}, set("t/f/s", "retry_budget", "33"), result.PolicyInvalid, 0},
--- a/store/consulkv/contract_test.go
+++ b/store/consulkv/contract_test.go
@@ -30,7 +30,7 @@
 		case storetest.RateLimited:
 			stub.SetFaults(consul.Faults{RatePerSecond: -1})
 		case storetest.AnswerLost:
-			stub.SetFaults(consul.Faults{LoseAnswers: 1})
+			stub.SetFaults(consul.Faults{DropResponses: 1})
 		case storetest.Slow:
 			stub.SetFaults(consul.Faults{Delay: time.Hour})
 		}
@@ -56,7 +56,7 @@
 	is.NoErr(err)
 	is.Equal(machines, []store.Machine{{ID: "m1", Control: "127.0.0.1:7001", Zone: "z1", State: store.MachineLive}})
 
-	stub.SetFaults(consul.Faults{MachineLag: time.Hour})
+	stub.SetFaults(consul.Faults{MachineListLag: time.Hour})
 	row.ServiceMeta = map[string]string{"zone": "z1", "state": "leaving"}
 	stub.Register(row)
 	machines, err = client.List(t.Context())
