--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,13 +27,13 @@
 
 var verdictNames = map[Verdict]string{Admitted: "in", BelowLevel: "below", QueueFull: "full", TooLate: "late"}
 
-// ask requests admission at a time after epoch. The deadline is left after that time.
-func (tc *testController) ask(at time.Duration, name string, priority int, left time.Duration) {
+// submit requests admission at a time after epoch. The deadline is left after that time.
+func (tc *testController) submit(at time.Duration, name string, priority int, left time.Duration) {
 	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left)})
 }
 
-// askWithUpstreamWork is ask for a request with upstream work.
-func (tc *testController) askWithUpstreamWork(at time.Duration, name string, priority int, left time.Duration) {
+// submitWithUpstreamWork is submit for a request with upstream work.
+func (tc *testController) submitWithUpstreamWork(at time.Duration, name string, priority int, left time.Duration) {
 	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left), HasUpstreamWork: true})
 }
 
@@ -55,82 +55,82 @@
 		run  func(*testController)
 		want string
 	}{
-		{"free slot", func(tc *testController) { tc.ask(0, "a", 0, time.Second) }, "a in"},
+		{"free slot", func(tc *testController) { tc.submit(0, "a", 0, time.Second) }, "a in"},
 		{"waits for a slot", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "b", 0, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "b", 0, time.Second)
 			tc.done(2*ms, ms)
 		}, "a in, b in"},
 		{"highest priority first", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "low", 100, time.Second)
-			tc.ask(ms, "high", 900, time.Second)
-			tc.ask(ms, "middle", 500, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "low", 100, time.Second)
+			tc.submit(ms, "high", 900, time.Second)
+			tc.submit(ms, "middle", 500, time.Second)
 			tc.done(2*ms, ms)
 			tc.done(3*ms, ms)
 		}, "a in, high in, middle in"},
 		{"newest first within a priority", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "old", 100, time.Second)
-			tc.ask(2*ms, "new", 100, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "old", 100, time.Second)
+			tc.submit(2*ms, "new", 100, time.Second)
 			tc.done(3*ms, ms)
 		}, "a in, new in"},
 		{"maximum queue time passes", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "b", 0, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "b", 0, time.Second)
 			tc.Expire(epoch.Add(52 * ms))
 		}, "a in, b full"},
-		{"deadline has passed", func(tc *testController) { tc.ask(0, "a", 0, 0) }, "a late"},
+		{"deadline has passed", func(tc *testController) { tc.submit(0, "a", 0, 0) }, "a late"},
 		{"less time left than the back end takes", func(tc *testController) {
 			for i := range 100 {
-				tc.ask(time.Duration(i)*ms, "x", 0, time.Minute)
+				tc.submit(time.Duration(i)*ms, "x", 0, time.Minute)
 				tc.done(time.Duration(i)*ms, time.Second)
 			}
 			tc.verdicts = nil
-			tc.ask(time.Second, "a", 0, 100*ms)
+			tc.submit(time.Second, "a", 0, 100*ms)
 		}, "a late"},
 		{"deadline passes in the queue", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "b", 0, 10*ms)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "b", 0, 10*ms)
 			tc.done(20*ms, ms)
 		}, "a in, b late"},
 		{"full queue drops the lowest priority", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "b", 300, time.Second)
-			tc.ask(ms, "c", 100, time.Second)
-			tc.ask(ms, "d", 200, time.Second)
-			tc.ask(ms, "e", 400, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "b", 300, time.Second)
+			tc.submit(ms, "c", 100, time.Second)
+			tc.submit(ms, "d", 200, time.Second)
+			tc.submit(ms, "e", 400, time.Second)
 		}, "a in, c full"},
 		{"upstream work first within a class", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "high", 200, time.Second)
-			tc.askWithUpstreamWork(ms, "upstream", 100, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "high", 200, time.Second)
+			tc.submitWithUpstreamWork(ms, "upstream", 100, time.Second)
 			tc.done(2*ms, ms)
 			tc.done(3*ms, ms)
 		}, "a in, upstream in, high in"},
 		{"higher class before upstream work", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "higher", 300, time.Second)
-			tc.askWithUpstreamWork(ms, "upstream", 100, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "higher", 300, time.Second)
+			tc.submitWithUpstreamWork(ms, "upstream", 100, time.Second)
 			tc.done(2*ms, ms)
 		}, "a in, higher in"},
 		{"upstream work waits until its deadline", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.askWithUpstreamWork(ms, "upstream", 0, time.Second)
-			tc.ask(ms, "b", 0, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submitWithUpstreamWork(ms, "upstream", 0, time.Second)
+			tc.submit(ms, "b", 0, time.Second)
 			tc.Expire(epoch.Add(900 * ms))
 			tc.done(901*ms, ms)
 		}, "a in, b full, upstream in"},
 		{"withdrawn request is not started", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
-			tc.ask(ms, "b", 0, time.Second)
+			tc.submit(0, "a", 0, time.Second)
+			tc.submit(ms, "b", 0, time.Second)
 			if !tc.Withdraw(tc.tickets["b"]) {
 				tc.verdicts = append(tc.verdicts, "not withdrawn")
 			}
 			tc.done(2*ms, ms)
 		}, "a in"},
 		{"started request cannot be withdrawn", func(tc *testController) {
-			tc.ask(0, "a", 0, time.Second)
+			tc.submit(0, "a", 0, time.Second)
 			if tc.Withdraw(tc.tickets["a"]) {
 				tc.verdicts = append(tc.verdicts, "withdrawn")
 			}
@@ -285,7 +285,7 @@
 	controller := NewController(epoch, Config{MinimumLimit: 10, MaximumLimit: 10, QueueTime: time.Second})
 	running := []*Ticket{}
 	served := map[bool]int{}
-	ask := func(now time.Time, upstreamWork bool) {
+	submit := func(now time.Time, upstreamWork bool) {
 		request := Request{Priority: 300, Deadline: now.Add(time.Second), HasUpstreamWork: upstreamWork}
 		var ticket *Ticket
 		admitted := false
@@ -301,9 +301,9 @@
 	}
 	for i := range 2000 {
 		now := epoch.Add(time.Duration(i) * ms)
-		ask(now, true)
-		ask(now, true)
-		ask(now, false)
+		submit(now, true)
+		submit(now, true)
+		submit(now, false)
 		if len(running) > 0 {
 			finished := running[0]
 			running = running[1:]
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -107,9 +107,9 @@
 		now = now.Add(gateWindow)
 		gate.Done(now, 10)
 	}
-	reopens := gate.ReopensAfter()
-	is.True(reopens > time.Second)
-	for end := now.Add(reopens + 2*gateWindow); now.Before(end); {
+	reopensAfter := gate.ReopensAfter()
+	is.True(reopensAfter > time.Second)
+	for end := now.Add(reopensAfter + 2*gateWindow); now.Before(end); {
 		now = now.Add(gateWindow)
 		gate.Done(now, 0)
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -125,14 +125,14 @@
 
 // Pick selects a node for a call and counts the call as in flight there. It returns false
 // if there is no node. Each successful Pick must be followed by one Done.
-func (b *Balancer) Pick(now time.Time, need Requirements) (Target, bool) {
+func (b *Balancer) Pick(now time.Time, requirements Requirements) (Target, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	candidates := b.candidates(now, need)
+	candidates := b.candidates(now, requirements)
 	if len(candidates) == 0 {
 		return Target{}, false
 	}
-	if need.NotRepeatable {
+	if requirements.NotRepeatable {
 		candidates = b.reliable(now, candidates)
 	}
 	chosen := b.cheapest(now, b.zoneCandidates(now, candidates))
@@ -193,10 +193,10 @@
 
 // candidates returns the first group of nodes that is not empty: those that admit the
 // priority, available ones (neither suspect nor ejected), those that are not leaving, all.
-func (b *Balancer) candidates(now time.Time, need Requirements) []*nodeState {
+func (b *Balancer) candidates(now time.Time, requirements Requirements) []*nodeState {
 	var admitting, available, staying, all []*nodeState
 	for _, candidate := range b.list {
-		if slices.Contains(need.Exclude, candidate.target.ID) {
+		if slices.Contains(requirements.Exclude, candidate.target.ID) {
 			continue
 		}
 		all = append(all, candidate)
@@ -208,7 +208,7 @@
 			continue
 		}
 		available = append(available, candidate)
-		if b.levelOf(now, candidate, need.Path) <= need.Priority {
+		if b.levelOf(now, candidate, requirements.Path) <= requirements.Priority {
 			admitting = append(admitting, candidate)
 		}
 	}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -209,13 +209,13 @@
 		return changed
 	}
 	cases := []struct {
-		name       string
-		current    *Groups
-		candidates []Candidate
-		voting     bool
-		changed    int
-		lost       int
-		reset      bool
+		name            string
+		current         *Groups
+		candidates      []Candidate
+		voting          bool
+		changed         int
+		withoutMajority int
+		reset           bool
 	}{
 		{"a new mesh", nil, all, true, 1, 0, false},
 		{"no change needed", current, all, true, 0, 0, false},
@@ -236,7 +236,7 @@
 			planner := Planner{Groups: 1, Replicas: 3, Voting: func(int) bool { return c.voting }}
 			plan := planner.Plan(c.current, c.candidates)
 			is.Equal(plan.Changed, c.changed)
-			is.Equal(plan.WithoutMajority, c.lost)
+			is.Equal(plan.WithoutMajority, c.withoutMajority)
 			group := plan.Next.Groups[0]
 			is.Equal(group.Reset, c.reset)
 			if c.changed == 0 {
--- a/claims/plan.go
+++ b/claims/plan.go
@@ -54,21 +54,21 @@
 	}
 	plan := Plan{Next: &Groups{Revision: current.Revision + 1}}
 	for i, group := range current.Groups {
-		next, changed, lost := p.planGroup(i, group, known, candidates)
+		next, changed, withoutMajority := p.planGroup(i, group, known, candidates)
 		plan.Next.Groups = append(plan.Next.Groups, next)
 		if changed {
 			plan.Changed++
 		}
-		if lost {
+		if withoutMajority {
 			plan.WithoutMajority++
 		}
 	}
 	return plan
 }
 
-// planGroup returns one group at its next epoch, or unchanged. lost reports that
+// planGroup returns one group at its next epoch, or unchanged. withoutMajority reports that
 // it has no majority and cannot be reset yet.
-func (p Planner) planGroup(index int, group Group, known map[string]Candidate, candidates []Candidate) (next Group, changed, lost bool) {
+func (p Planner) planGroup(index int, group Group, known map[string]Candidate, candidates []Candidate) (next Group, changed, withoutMajority bool) {
 	chosen := p.choose(index, group, known, candidates)
 	if len(chosen) == 0 || sameProcesses(chosen, group.Replicas) {
 		return group, false, false
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -158,8 +158,9 @@
 	t.state.ClosesAt = now.Add(t.config.CloseAfter)
 }
 
-// ObserveReplacement processes the id of another incarnation, actual, which refused a request sent to the
-// incarnation expected. The state of the new incarnation is unknown until its next heartbeat.
+// ObserveReplacement processes the id of another incarnation, actual, which refused a request sent
+// to the incarnation expected. The state of the new incarnation is unknown until its next
+// heartbeat.
 func (t *Tracker) ObserveReplacement(expected, actual string) {
 	if expected != t.state.ID || actual == t.state.ID || actual == "" {
 		return
--- a/internal/emulator/attempt_test.go
+++ b/internal/emulator/attempt_test.go
@@ -27,7 +27,7 @@
 	path := c.mesh.kinds[r.kind].class.String() + " " + service
 	target, refusal := c.choose(from, r, service, path, tried)
 	if target == nil {
-		refusal.unspent = allowance
+		refusal.unused = allowance
 		done(refusal)
 		return
 	}
--- a/internal/emulator/backend_test.go
+++ b/internal/emulator/backend_test.go
@@ -49,14 +49,14 @@
 	onEnd := func(response reply, ownTime time.Duration) {
 		b.controller.Done(c.Now(), ticket, admission.Outcome{OwnTime: ownTime, Refused: response.refused, Counted: !item.cancelled})
 		response.level = max(response.level, level())
-		response.unspent = account.Close()
+		response.unused = account.Close()
 		response.refused = false // the request was admitted, so it counts as run
 		done(response)
 	}
 	ticket = b.controller.Submit(c.Now(), admissionRequest, func(verdict admission.Verdict) {
 		c.After(0, func() { // the controller must not be called from its callback
 			if verdict != admission.Admitted {
-				done(reply{refused: true, final: verdict == admission.TooLate, unspent: account.Close(), level: level()})
+				done(reply{refused: true, final: verdict == admission.TooLate, unused: account.Close(), level: level()})
 				return
 			}
 			c.execute(b, r, i, account, item, onEnd)
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -117,7 +117,7 @@
 	ok      bool
 	refused bool // not run
 	final   bool // a retry cannot succeed
-	unspent int  // unused retries of the allowance
+	unused  int  // unused retries of the allowance
 	level   int
 }
 
@@ -162,7 +162,7 @@
 	try = func() {
 		allowance := account.Delegate()
 		c.attempt(from, r, i, allowance, &tried, func(response reply) {
-			account.ReturnUnused(allowance, response.unspent)
+			account.ReturnUnused(allowance, response.unused)
 			if response.ok || response.final || !c.Now().Before(r.deadline) || !c.takeRetry(from, service, r, response, account) {
 				done(response)
 				return
--- a/internal/labcli/soak.go
+++ b/internal/labcli/soak.go
@@ -24,7 +24,7 @@
 	Verbose bool          `help:"Tell each fault on standard error." short:"v"`
 }
 
-// Run runs a soak for each seed. It fails if a soak broke a promise.
+// Run runs a soak for each seed. It fails if a soak found a violated invariant.
 func (c *soakCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -79,9 +79,9 @@
 		r.accounts[step.Who] = retrybudget.Open(r.allowances[step.Who])
 		return fmt.Sprintf("loan %d", r.allowances[step.Who]), nil
 	case "answer": // Who responds to From.
-		unspent := r.accounts[step.Who].Close()
-		r.accounts[step.From].ReturnUnused(r.allowances[step.Who], unspent)
-		return fmt.Sprintf("repaid %d", unspent), nil
+		unused := r.accounts[step.Who].Close()
+		r.accounts[step.From].ReturnUnused(r.allowances[step.Who], unused)
+		return fmt.Sprintf("repaid %d", unused), nil
 	case "lose": // The response of Who is lost.
 		r.accounts[step.Who].Close()
 		return "lost", nil
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -10,7 +10,7 @@
 // Invariant is a property that must hold during a soak.
 type Invariant string
 
-// Promises, with the texts that reports show.
+// Invariants, with the texts that reports show.
 const (
 	CompleteAnswer       Invariant = "every caller gets the whole answer to its own request"
 	AtMostOnce           Invariant = "a request that may not be repeated runs at most once"
@@ -23,14 +23,14 @@
 	PlannedStop          Invariant = "a planned stop cuts off no request"
 )
 
-// Violation is a broken promise.
+// Violation is a violated invariant.
 type Violation struct {
 	Invariant Invariant     `json:"promise"`
 	At        time.Duration `json:"at"` // Time since the start of the soak.
 	What      string        `json:"what"`
 }
 
-// Bounds of promises that allow for a delay.
+// Bounds of invariants that allow for a delay.
 const (
 	// drainTime is the time after which a draining back end gets no more requests.
 	drainTime = 2 * time.Second
@@ -52,7 +52,7 @@
 	Planned bool
 }
 
-// Checker receives events from callers and back ends and records broken promises. It is safe
+// Checker receives events from callers and back ends and records violated invariants. It is safe
 // for concurrent use.
 type Checker struct {
 	started time.Time
@@ -186,19 +186,19 @@
 	c.draining[instance] = now
 }
 
-// Violate records a broken promise that was detected outside the Checker.
-func (c *Checker) Violate(now time.Time, promise Invariant, format string, arguments ...any) {
+// Violate records a violated invariant that was detected outside the Checker.
+func (c *Checker) Violate(now time.Time, invariant Invariant, format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.violate(now, promise, format, arguments...)
+	c.violate(now, invariant, format, arguments...)
 }
 
-// violate records a broken promise. The caller holds the mutex.
-func (c *Checker) violate(now time.Time, promise Invariant, format string, arguments ...any) {
-	c.violations = append(c.violations, Violation{Invariant: promise, At: now.Sub(c.started), What: fmt.Sprintf(format, arguments...)})
+// violate records a violated invariant. The caller holds the mutex.
+func (c *Checker) violate(now time.Time, invariant Invariant, format string, arguments ...any) {
+	c.violations = append(c.violations, Violation{Invariant: invariant, At: now.Sub(c.started), What: fmt.Sprintf(format, arguments...)})
 }
 
-// Violations returns the broken promises recorded so far.
+// Violations returns the violated invariants recorded so far.
 func (c *Checker) Violations() []Violation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -15,8 +15,8 @@
 	crashes = Kind{Name: "crash", Repeatable: true, Crasher: "x"}
 )
 
-// Guards against a Checker that misses a broken promise or reports one that was kept.
-func TestCheckerFindsBrokenPromises(t *testing.T) {
+// Guards against a Checker that misses a violated invariant or reports one that held.
+func TestCheckerFindsViolations(t *testing.T) {
 	at := func(after time.Duration) time.Time { return start.Add(after) }
 	cases := []struct {
 		name   string
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -70,7 +70,7 @@
 }
 
 // Run runs a soak for the configured time or until ctx is done. It returns an error if the
-// soak could not be started; broken promises are listed in the report.
+// soak could not be started; violated invariants are listed in the report.
 func Run(ctx context.Context, config Config) (*Report, error) {
 	if err := config.check(); err != nil {
 		return nil, err
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// TestSoak guards the promises under half a minute of faults from a fixed seed. Longer soaks
+// TestSoak guards the invariants under half a minute of faults from a fixed seed. Longer soaks
 // are run with loomcleat-lab soak.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "loomcleat")
--- a/internal/standin/keyvalue/faults.go
+++ b/internal/standin/keyvalue/faults.go
@@ -37,9 +37,9 @@
 	return true
 }
 
-// takeLostAnswer reports whether the response to a call is dropped. Only writes that are
+// takeDroppedResponse reports whether the response to a call is dropped. Only writes that are
 // executed count.
-func (f *faultState) takeLostAnswer(method string) bool {
+func (f *faultState) takeDroppedResponse(method string) bool {
 	refused := f.current.Down || f.current.Silent || f.current.Status != 0 || f.current.Garbage
 	if method == http.MethodGet || refused || f.current.DropResponses == 0 {
 		return false
@@ -86,7 +86,7 @@
 		s.mutex.Lock()
 		faults := s.faults.current
 		limited := s.faults.overRate(time.Now())
-		loseAnswer := !limited && s.faults.takeLostAnswer(r.Method)
+		dropResponse := !limited && s.faults.takeDroppedResponse(r.Method)
 		s.mutex.Unlock()
 		if faults.Down {
 			panic(http.ErrAbortHandler)
@@ -105,7 +105,7 @@
 			w.WriteHeader(faults.Status)
 		case faults.Garbage:
 			_, _ = io.WriteString(w, "<html>")
-		case loseAnswer:
+		case dropResponse:
 			next.ServeHTTP(discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		default:
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -89,9 +89,9 @@
 	defer timeout.Stop()
 	for {
 		s.mutex.Lock()
-		reached, changed, mute := condition(&s.data), s.changed, s.faults.current.BlockWatches
+		reached, changed, blocked := condition(&s.data), s.changed, s.faults.current.BlockWatches
 		s.mutex.Unlock()
-		if mute {
+		if blocked {
 			<-r.Context().Done()
 			return false
 		}
--- a/kernel/advice_test.go
+++ b/kernel/advice_test.go
@@ -14,22 +14,22 @@
 // TestRetryAfterOfRefusals guards against clients that retry in step after an overload,
 // and against a Retry-After in a form that the caller does not understand.
 func TestRetryAfterOfRefusals(t *testing.T) {
-	const room = 400 * time.Millisecond
+	const capacity = 400 * time.Millisecond
 	cases := []struct {
-		name       string
-		fractional bool
-		external   bool
-		roomAfter  time.Duration
-		code       result.Code
-		low, high  string
+		name          string
+		fractional    bool
+		external      bool
+		capacityAfter time.Duration
+		code          result.Code
+		low, high     string
 	}{
-		{"overload", true, true, room, result.ShedEarly, "0.400", "0.600"},
-		{"full", true, true, room, result.Overloaded, "0.400", "0.600"},
-		{"refused by back ends", true, true, room, result.BackendRefused, "0.400", "0.600"},
+		{"overload", true, true, capacity, result.ShedEarly, "0.400", "0.600"},
+		{"full", true, true, capacity, result.Overloaded, "0.400", "0.600"},
+		{"refused by back ends", true, true, capacity, result.BackendRefused, "0.400", "0.600"},
 		{"wait not computed", true, true, 0, result.ShedEarly, "1.000", "1.000"},
-		{"whole seconds only", false, true, room, result.ShedEarly, "1", "1"},
-		{"another process", true, false, room, result.Overloaded, "2", "2"},
-		{"node unreachable", true, true, room, result.NodeRefused, "2.000", "2.000"},
+		{"whole seconds only", false, true, capacity, result.ShedEarly, "1", "1"},
+		{"another process", true, false, capacity, result.Overloaded, "2", "2"},
+		{"node unreachable", true, true, capacity, result.NodeRefused, "2.000", "2.000"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			sent := map[string]bool{}
 			for range 50 {
 				recorder := httptest.NewRecorder()
-				p.withRetryAfter(&Call{External: c.external, CapacityAfter: c.roomAfter}, refused).WriteHTTP(recorder)
+				p.withRetryAfter(&Call{External: c.external, CapacityAfter: c.capacityAfter}, refused).WriteHTTP(recorder)
 				got := recorder.Header().Get("Retry-After")
 				is.True(got >= c.low && got <= c.high) // same length, so strings compare like numbers
 				sent[got] = true
--- a/kernel/lifecycle.go
+++ b/kernel/lifecycle.go
@@ -105,7 +105,7 @@
 // announce announces to the peers that the process leaves. It fails only when the time to
 // stop has run out. The process then stops at once, and peers detect it by their probes.
 func (p *Process) announce(ctx context.Context) {
-	p.announced.Store(true)
+	p.leaveAnnounced.Store(true)
 	_ = p.Loop.Do(ctx, func(time.Time) { p.Mesh.SetState(true, false) })
 }
 
--- a/kernel/process.go
+++ b/kernel/process.go
@@ -63,15 +63,15 @@
 	inbound    Handler
 	outbound   Handler
 
-	inFlight  atomic.Int64
-	ready     atomic.Bool
-	leaving   atomic.Bool
-	announced atomic.Bool
-	draining  atomic.Bool
-	context   context.Context
-	cancel    context.CancelFunc
-	stopOnce  sync.Once
-	stopped   chan struct{}
+	inFlight       atomic.Int64
+	ready          atomic.Bool
+	leaving        atomic.Bool
+	leaveAnnounced atomic.Bool
+	draining       atomic.Bool
+	context        context.Context
+	cancel         context.CancelFunc
+	stopOnce       sync.Once
+	stopped        chan struct{}
 }
 
 // New binds the listeners of a process and sets up its plug-ins. The process serves
@@ -152,7 +152,7 @@
 
 // LeaveAnnounced reports whether a stopping process has announced to its peers that it leaves.
 // Until then they keep sending calls to its back end.
-func (p *Process) LeaveAnnounced() bool { return p.announced.Load() }
+func (p *Process) LeaveAnnounced() bool { return p.leaveAnnounced.Load() }
 
 // Draining reports whether the process refuses new requests.
 func (p *Process) Draining() bool { return p.draining.Load() }
--- a/kernel/services.go
+++ b/kernel/services.go
@@ -12,10 +12,10 @@
 type Documents interface {
 	// Revisions returns the revisions of the documents of this process.
 	Revisions() wire.Revisions
-	// ObservePeerRevisions reports the revisions of a peer. It does not block. asked is when this
-	// process requested them. It is zero for unsolicited revisions, which prove nothing
-	// about the present because they may have been delayed.
-	ObservePeerRevisions(peer string, revisions wire.Revisions, asked time.Time)
+	// ObservePeerRevisions reports the revisions of a peer. It does not block.
+	// requestedAt is when this process requested them. It is zero for unsolicited
+	// revisions, which prove nothing about the present because they may have been delayed.
+	ObservePeerRevisions(peer string, revisions wire.Revisions, requestedAt time.Time)
 	// PolicyProof returns the age of the last proof that the policy of this process was
 	// the newest one. known is false when there is no proof.
 	PolicyProof(now time.Time) (age time.Duration, known bool)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -19,8 +19,8 @@
 	}, startTime)
 }
 
-func other(version uint64, status Status) Member {
-	return Member{ID: "b", Control: "b:1", Generation: 5, Incarnation: version, Status: status}
+func other(incarnation uint64, status Status) Member {
+	return Member{ID: "b", Control: "b:1", Generation: 5, Incarnation: incarnation, Status: status}
 }
 
 // receiveUpdates delivers updates to a machine in a message from a third process.
--- a/plugin/configsync/peers.go
+++ b/plugin/configsync/peers.go
@@ -13,8 +13,8 @@
 // pullTimeout bounds the transfer of one document from a peer.
 const pullTimeout = 2 * time.Second
 
-// ObservePeerRevisions implements kernel.Documents. It fetches the documents of which the peer has a newer
-// revision.
+// ObservePeerRevisions implements kernel.Documents. It fetches the documents of which the peer
+// has a newer revision.
 func (s *synchronizer) ObservePeerRevisions(peer string, revisions wire.Revisions, requestedAt time.Time) {
 	for _, d := range s.documents {
 		if revisions.Of(d.name) > d.revision.Load() && d.pulling.CompareAndSwap(false, true) {
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -26,7 +26,7 @@
 // handle sends the call to the back end.
 func (f *forwarder) handle(call *kernel.Call) (*kernel.Answer, error) {
 	call.Header.Set(wire.HeaderContext, call.Execution.Token)
-	expected, err := f.expectInstance(call)
+	expected, err := f.expectIncarnation(call)
 	if err != nil {
 		return nil, err
 	}
@@ -70,10 +70,10 @@
 	}
 }
 
-// expectInstance sets the instance of the back end that may run the call and returns its id, "" if
-// the back end sends no heartbeats. It checks the state again because the back end may have left
-// while the call waited for a slot.
-func (f *forwarder) expectInstance(call *kernel.Call) (instance string, err error) {
+// expectIncarnation sets the incarnation of the back end that may run the call and returns its id,
+// "" if the back end sends no heartbeats. It checks the state again because the back end may have
+// left while the call waited for a slot.
+func (f *forwarder) expectIncarnation(call *kernel.Call) (incarnation string, err error) {
 	if f.process.BackEnd == nil {
 		return "", nil
 	}
--- a/plugin/quarantine/attempt.go
+++ b/plugin/quarantine/attempt.go
@@ -93,10 +93,10 @@
 	now := clock.Now().Time()
 	connectionBroken := err.Code == result.ConnectionLost
 	p.mutex.Lock()
-	instance := p.incarnation(call)
-	p.unanswered.Add(now, instance, signature)
+	incarnation := p.incarnation(call)
+	p.unanswered.Add(now, incarnation, signature)
 	if connectionBroken {
-		p.check = crashCheck{instance: instance, since: now, dialed: p.check.dialed}
+		p.check = crashCheck{incarnation: incarnation, since: now, dialed: p.check.dialed}
 	}
 	nextQuarantines := p.ledger.QuarantinedByNextCrash(signature)
 	p.mutex.Unlock()
--- a/plugin/quarantine/crashcheck.go
+++ b/plugin/quarantine/crashcheck.go
@@ -39,7 +39,7 @@
 // zero value means that no check is open.
 type crashCheck struct {
 	// The incarnation that is checked.
-	instance string
+	incarnation string
 	// Time of the last broken connection.
 	since time.Time
 	// Time of the last connection opened for the check.
@@ -79,19 +79,19 @@
 func (p *plugin) stepCheck(ctx context.Context, now time.Time) bool {
 	check, dial := p.nextStep(now)
 	switch {
-	case check.instance == "":
+	case check.incarnation == "":
 		return false
-	case p.isLeaving(check.instance):
-		p.closeCheck(check.instance) // A graceful stop is no crash.
+	case p.isLeaving(check.incarnation):
+		p.closeCheck(check.incarnation) // A graceful stop is no crash.
 		return false
-	case p.isReplaced(check.instance):
-		p.recordCrash(check.instance, "replaced")
+	case p.isReplaced(check.incarnation):
+		p.recordCrash(check.incarnation, "replaced")
 		return false
 	case dial && refusesConnections(ctx, p.process.Settings.Backend):
-		p.recordCrash(check.instance, "refuses-connections")
+		p.recordCrash(check.incarnation, "refuses-connections")
 		return false
 	case now.Sub(check.since) > maximumCheckTime:
-		p.closeCheck(check.instance)
+		p.closeCheck(check.incarnation)
 		return false
 	default:
 		return true
@@ -104,7 +104,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	open = p.check
-	dial = open.instance != "" && open.dials < dialsPerBreak && now.Sub(open.dialed) >= minimumDialInterval
+	dial = open.incarnation != "" && open.dials < dialsPerBreak && now.Sub(open.dialed) >= minimumDialInterval
 	if dial {
 		p.check.dials++
 		p.check.dialed = now
@@ -113,31 +113,31 @@
 }
 
 // closeCheck closes the check of an incarnation. A check of another one stays open.
-func (p *plugin) closeCheck(instance string) {
+func (p *plugin) closeCheck(incarnation string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.check.instance == instance {
+	if p.check.incarnation == incarnation {
 		p.check = crashCheck{}
 	}
 }
 
 // recordCrash records that an incarnation crashed with requests in flight and reports the crash
 // to all processes. evidence is for the log.
-func (p *plugin) recordCrash(instance, evidence string) {
-	p.closeCheck(instance)
+func (p *plugin) recordCrash(incarnation, evidence string) {
+	p.closeCheck(incarnation)
 	p.unnamedCrashed.Store(true)
 	p.mutex.Lock()
-	suspects := p.unanswered.Suspects(instance)
-	repeated := p.lastCrashed == instance // Further requests that were in flight during the same crash.
-	p.lastCrashed = instance
-	p.recordOwnCrash(instance)
+	suspects := p.unanswered.Suspects(incarnation)
+	repeated := p.lastCrashed == incarnation // Further requests that were in flight during the same crash.
+	p.lastCrashed = incarnation
+	p.recordOwnCrash(incarnation)
 	p.mutex.Unlock()
 	if !repeated {
 		p.crashCount.Add(1)
 	}
-	p.process.Log.Emit(event.BackendCrashed, "backend", p.process.Settings.Backend, "instance", instance, "found", evidence,
+	p.process.Log.Emit(event.BackendCrashed, "backend", p.process.Settings.Backend, "instance", incarnation, "found", evidence,
 		"suspects", len(suspects), "signatures", suspects)
-	crashes := []quarantine.CrashReport{{ID: instance, Suspects: suspects}}
+	crashes := []quarantine.CrashReport{{ID: incarnation, Suspects: suspects}}
 	if p.mergeReports(clock.Now().Time(), crashes, p.process.ID) {
 		go p.broadcast(crashes)
 	}
@@ -154,21 +154,21 @@
 }
 
 // isLeaving reports whether an incarnation has announced that it leaves.
-func (p *plugin) isLeaving(instance string) bool {
+func (p *plugin) isLeaving(incarnation string) bool {
 	if p.process.BackEnd == nil {
 		return false
 	}
 	state := p.process.BackEnd.State()
-	return state.ID == instance && state.Leaving
+	return state.ID == incarnation && state.Leaving
 }
 
 // isReplaced reports whether the back end now sends heartbeats as another incarnation.
-func (p *plugin) isReplaced(instance string) bool {
+func (p *plugin) isReplaced(incarnation string) bool {
 	if p.process.BackEnd == nil {
 		return false
 	}
 	present := p.process.BackEnd.State().ID
-	return present != "" && present != instance
+	return present != "" && present != incarnation
 }
 
 // refusesConnections reports whether nothing listens at an address. Timeouts and resets don't
--- a/plugin/quarantine/setup_test.go
+++ b/plugin/quarantine/setup_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-func newCall(path, instance string) *kernel.Call {
-	return &kernel.Call{Method: http.MethodGet, Host: "shop.example", URL: &url.URL{Path: path}, Instance: instance}
+func newCall(path, incarnation string) *kernel.Call {
+	return &kernel.Call{Method: http.MethodGet, Host: "shop.example", URL: &url.URL{Path: path}, Instance: incarnation}
 }
 
 // newCrash returns a crash with one request in flight.
--- a/plugin/quota/admit.go
+++ b/plugin/quota/admit.go
@@ -32,13 +32,13 @@
 func (l *limiter) admit(tenant string) quota.Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ledger.Admit(clock.Now().Time(), tenant)
+	return l.limiter.Admit(clock.Now().Time(), tenant)
 }
 
 func (l *limiter) refund(tenant string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.Refund(tenant)
+	l.limiter.Refund(tenant)
 }
 
 // reportSoon wakes the goroutine that sends reports.
--- a/plugin/quota/coordinator.go
+++ b/plugin/quota/coordinator.go
@@ -55,7 +55,7 @@
 func (l *limiter) serveTenants(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now().Time()
 	l.mutex.Lock()
-	answer := wire.Tenants{ID: l.process.ID, CutOff: l.ledger.CutOff(now), Quotas: l.ledger.States(now)}
+	answer := wire.Tenants{ID: l.process.ID, CutOff: l.limiter.CutOff(now), Quotas: l.limiter.States(now)}
 	l.mutex.Unlock()
 	kernel.WriteJSON(w, answer)
 }
--- a/plugin/quota/processes.go
+++ b/plugin/quota/processes.go
@@ -57,6 +57,6 @@
 func (l *limiter) setProcesses(processes int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.SetProcesses(processes)
+	l.limiter.SetProcesses(processes)
 	l.totals.SetProcesses(processes)
 }
--- a/plugin/quota/quotas.go
+++ b/plugin/quota/quotas.go
@@ -28,7 +28,7 @@
 	l.changing = changing
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ledger.SetQuotas(now, quotas)
+	l.limiter.SetQuotas(now, quotas)
 	l.totals.SetQuotas(quotas)
 }
 
--- a/plugin/quota/report.go
+++ b/plugin/quota/report.go
@@ -52,7 +52,7 @@
 // nextInterval returns the time until the next report.
 func (l *limiter) nextInterval() time.Duration {
 	l.mutex.Lock()
-	isFirst := l.ledger.AwaitsFirstAnswer()
+	isFirst := l.limiter.AwaitsFirstAnswer()
 	l.mutex.Unlock()
 	switch {
 	case !l.reportsNeeded():
@@ -78,7 +78,7 @@
 		return true // no coordinator is known; try again after the interval
 	}
 	l.mutex.Lock()
-	report := l.ledger.BeginReport(l.process.ID)
+	report := l.limiter.BeginReport(l.process.ID)
 	l.mutex.Unlock()
 	sentAt := clock.Now().Time()
 	answer, err := l.askCoordinator(ctx, coordinator, report)
@@ -87,7 +87,7 @@
 		return false
 	}
 	l.mutex.Lock()
-	changed := l.ledger.ReportAnswered(sentAt, answer)
+	changed := l.limiter.ReportAnswered(sentAt, answer)
 	l.mutex.Unlock()
 	l.reportAgain = answer.ReportAgain
 	l.logAnswer(coordinator, changed)
@@ -97,7 +97,7 @@
 // recordFailure records and logs that a coordinator did not answer a report.
 func (l *limiter) recordFailure(coordinator membership.Member, sentAt time.Time, err error) {
 	l.mutex.Lock()
-	l.ledger.ReportFailed()
+	l.limiter.ReportFailed()
 	l.mutex.Unlock()
 	l.skipUntil[coordinator.ID] = sentAt.Add(skipTime)
 	l.lastCoordinator = ""
--- a/plugin/quota/setup.go
+++ b/plugin/quota/setup.go
@@ -35,7 +35,7 @@
 		process:   process,
 		config:    config,
 		client:    process.NewControlClient(idleTimeout),
-		ledger:    quota.NewLimiter(config, rand.Uint64()),
+		limiter:   quota.NewLimiter(config, rand.Uint64()),
 		totals:    quota.NewCoordinator(config),
 		grace:     quota.NewGracePeriod(config.Window),
 		wake:      make(chan struct{}, 1),
@@ -80,9 +80,9 @@
 	// Whether lowered quotas are still to come into force.
 	changing bool
 
-	// Guards ledger and totals.
-	mutex  sync.Mutex
-	ledger *quota.Limiter
+	// Guards limiter and totals.
+	mutex   sync.Mutex
+	limiter *quota.Limiter
 	// Used while this process is the coordinator.
 	totals *quota.Coordinator
 
--- a/plugin/retry/decision_test.go
+++ b/plugin/retry/decision_test.go
@@ -37,7 +37,7 @@
 }
 
 // situations returns, for each kind of retry budget, all combinations of repeatable, claims and
-// committed, and each of the other conditions by itself.
+// upstream work, and each of the other conditions by itself.
 func situations() []situation {
 	list := []situation{}
 	for _, shared := range []bool{true, false} {
@@ -46,11 +46,11 @@
 			list = append(list, situation{budget + ", " + name, shared, change})
 		}
 		for facts := range 8 {
-			repeatable, claims, committed := facts&1 != 0, facts&2 != 0, facts&4 != 0
-			name := fmt.Sprintf("repeatable %t, claims %t, committed %t", repeatable, claims, committed)
+			repeatable, claims, upstreamWork := facts&1 != 0, facts&2 != 0, facts&4 != 0
+			name := fmt.Sprintf("repeatable %t, claims %t, committed %t", repeatable, claims, upstreamWork)
 			add(name, func(call *kernel.Call, s *settings.Settings) {
 				call.Policy.Repeatable, s.Claims, call.Hops = repeatable, claims, 0
-				if committed {
+				if upstreamWork {
 					call.Hops = 1
 				}
 			})
--- a/plugin/retry/limiter_test.go
+++ b/plugin/retry/limiter_test.go
@@ -39,7 +39,7 @@
 		attempts   []attempt
 		made       int
 		// Whether the last attempt is marked as repeated.
-		repeat bool
+		isRetry bool
 	}{
 		{"refusal by a node costs no budget", false, 0, []attempt{unreachable, failWith(result.Overloaded), ok}, 3, false},
 		{"refusals by nodes are bounded", false, 0, []attempt{unreachable, unreachable, unreachable, ok}, 3, false},
@@ -56,11 +56,11 @@
 			is := is.New(t)
 			process := newSharedProcess()
 			r := &retrier{process: process, limiter: newLimiter(process)}
-			made, repeat := 0, false
+			made, isRetry := 0, false
 			handler := r.middleware(kernel.HandlerFunc(func(call *kernel.Call) (*kernel.Answer, error) {
 				next := c.attempts[made]
 				made++
-				repeat = call.IsRetry
+				isRetry = call.IsRetry
 				if next.err != nil {
 					return nil, next.err
 				}
@@ -75,7 +75,7 @@
 				Policy:   policy.Effective{Repeatable: c.repeatable},
 			})
 			is.Equal(made, c.made)
-			is.Equal(repeat, c.repeat)
+			is.Equal(isRetry, c.isRetry)
 		})
 	}
 }
--- a/plugin/routing/route.go
+++ b/plugin/routing/route.go
@@ -38,12 +38,12 @@
 // pick returns the node for the next attempt, one that the call has not tried yet. If all were
 // tried, it clears call.TriedNodes and returns any node.
 func pick(now time.Time, balancer *balance.Balancer, call *kernel.Call) (balance.Target, bool) {
-	need := balance.Requirements{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.TriedNodes, NotRepeatable: !call.Policy.Repeatable}
-	if target, found := balancer.Pick(now, need); found {
+	requirements := balance.Requirements{Path: call.Policy.Path, Priority: call.Priority, Exclude: call.TriedNodes, NotRepeatable: !call.Policy.Repeatable}
+	if target, found := balancer.Pick(now, requirements); found {
 		return target, true
 	}
-	call.TriedNodes, need.Exclude = nil, nil
-	return balancer.Pick(now, need)
+	call.TriedNodes, requirements.Exclude = nil, nil
+	return balancer.Pick(now, requirements)
 }
 
 func (r *router) noNode(call *kernel.Call) error {
--- a/quarantine/unanswered.go
+++ b/quarantine/unanswered.go
@@ -18,7 +18,7 @@
 // The zero value is empty.
 type UnansweredRequests struct {
 	// Incarnation that the requests were sent to.
-	instance string
+	incarnation string
 	// In the order of time.
 	unanswered []unansweredRequest
 }
@@ -31,9 +31,9 @@
 
 // Add records that a request sent to an incarnation ended without an answer: its connection
 // broke, or its caller gave up.
-func (r *UnansweredRequests) Add(now time.Time, instance string, signature Signature) {
-	if instance != r.instance {
-		r.instance, r.unanswered = instance, nil
+func (r *UnansweredRequests) Add(now time.Time, incarnation string, signature Signature) {
+	if incarnation != r.incarnation {
+		r.incarnation, r.unanswered = incarnation, nil
 	}
 	if len(r.unanswered) == maximumUnanswered {
 		r.unanswered = append(r.unanswered[:0], r.unanswered[maximumUnanswered/2:]...)
@@ -42,8 +42,8 @@
 }
 
 // Suspects returns the requests that were in flight when an incarnation crashed, each once.
-func (r *UnansweredRequests) Suspects(instance string) []Signature {
-	if instance != r.instance || len(r.unanswered) == 0 {
+func (r *UnansweredRequests) Suspects(incarnation string) []Signature {
+	if incarnation != r.incarnation || len(r.unanswered) == 0 {
 		return nil
 	}
 	since := r.unanswered[len(r.unanswered)-1].at.Add(-crashWindow)
--- a/quarantine/unanswered_test.go
+++ b/quarantine/unanswered_test.go
@@ -15,15 +15,15 @@
 
 func TestUnansweredRequests(t *testing.T) {
 	type unansweredRequest struct {
-		at       time.Duration
-		instance string
-		request  string
+		at          time.Duration
+		incarnation string
+		request     string
 	}
 	cases := []struct {
-		name       string
-		unanswered []unansweredRequest
-		instance   string
-		suspects   []string
+		name        string
+		unanswered  []unansweredRequest
+		incarnation string
+		suspects    []string
 	}{
 		{"no unanswered request", nil, "a", nil},
 		{"request unanswered twice", []unansweredRequest{{0, "a", "x"}, {1, "a", "y"}, {2, "a", "x"}}, "a", []string{"x", "y"}},
@@ -37,13 +37,13 @@
 			is := is.New(t)
 			requests := UnansweredRequests{}
 			for _, l := range c.unanswered {
-				requests.Add(start.Add(l.at), l.instance, signatureOf(l.request))
+				requests.Add(start.Add(l.at), l.incarnation, signatureOf(l.request))
 			}
 			expected := []Signature(nil)
 			for _, request := range c.suspects {
 				expected = append(expected, signatureOf(request))
 			}
-			is.Equal(requests.Suspects(c.instance), expected)
+			is.Equal(requests.Suspects(c.incarnation), expected)
 		})
 	}
 }
--- a/result/retryafter.go
+++ b/result/retryafter.go
@@ -32,8 +32,8 @@
 	ShedEarly:      {usual: usualWait},
 	BackendRefused: {usual: usualWait},
 
-	// Absence: a restart takes about a second, and a back end sends a heartbeat about
-	// once a second.
+	// Briefly unavailable: a restart takes about a second, and a back end sends a
+	// heartbeat about once a second.
 	NoNode:             {usual: usualWait},
 	NodeRefused:        {usual: usualWait},
 	BackendUnreachable: {usual: usualWait},
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -24,7 +24,7 @@
 	// offers are free, so that a call to an overloaded service does not try every node.
 	MaximumOffers = 3
 	// UnavailablePause is the time between two rounds of offers of a call while nodes are
-	// absent, for example while they restart.
+	// unavailable, for example while they restart.
 	UnavailablePause = 50 * time.Millisecond
 	// MinimumTimeElsewhere is the time until the deadline that must be left to try another
 	// node after one whose back end was too slow for the time left. Calls of a few hops
@@ -44,8 +44,8 @@
 	// Claims reports that a request which must not run twice is claimed by its key, so that
 	// another attempt gets the answer of the first one.
 	Claims bool
-	// HasUpstreamWork reports that the call has upstream work: other services have already done
-	// work for the user request, which is wasted if the call fails.
+	// HasUpstreamWork reports that the call has upstream work: other services have already
+	// done work for the user request, which is wasted if the call fails.
 	HasUpstreamWork bool
 	// Sendable reports that the body can be sent again and the caller is still waiting.
 	Sendable bool
@@ -59,8 +59,8 @@
 	SharedBudget bool
 	// Offers is the number of attempts in this round, including the one that ended.
 	Offers int
-	// Unavailable reports that a node was absent in this round, in this attempt or an earlier
-	// one.
+	// Unavailable reports that a node was unavailable in this round, in this attempt or an
+	// earlier one.
 	Unavailable bool
 	// Arrivals is the number of earlier attempts that may have arrived at a back end.
 	Arrivals int
@@ -161,7 +161,7 @@
 }
 
 // mayPause reports whether a call that no node accepted may be offered again after a pause:
-// a node was absent, the call has upstream work, enough time is left and the offer is free.
+// a node was unavailable, the call has upstream work, enough time is left and the offer is free.
 // A call that a back end refused has arrived there, so that sending it again takes a retry
 // from the budgets.
 func mayPause(s Situation) bool {
--- a/spread/freshness.go
+++ b/spread/freshness.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// RecordConfirmation records that a peer with the same document knew it to be the newest revision the
-// given age ago.
+// RecordConfirmation records that a peer with the same document knew it to be the newest
+// revision the given age ago.
 func (f *Freshness) RecordConfirmation(now time.Time, age time.Duration) {
 	at := now.Add(-age)
 	if at.After(f.confirmed) {
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -17,16 +17,16 @@
 }
 
 // Offer replaces the document if the given revision is higher, and reports whether it did.
-func (k *CurrentDocument) Offer(revision uint64, data []byte) bool {
-	if revision <= k.revision {
+func (d *CurrentDocument) Offer(revision uint64, data []byte) bool {
+	if revision <= d.revision {
 		return false
 	}
-	k.revision, k.data = revision, data
+	d.revision, d.data = revision, data
 	return true
 }
 
 // Revision returns the revision of the document, 0 if there is none.
-func (k *CurrentDocument) Revision() uint64 { return k.revision }
+func (d *CurrentDocument) Revision() uint64 { return d.revision }
 
 // Data returns the document, nil if there is none. It must not be modified.
-func (k *CurrentDocument) Data() []byte { return k.data }
+func (d *CurrentDocument) Data() []byte { return d.data }
--- a/transport/socket/inspect.go
+++ b/transport/socket/inspect.go
@@ -18,13 +18,13 @@
 // PeerClosed reports whether the peer has closed its side of a connection, even if bytes
 // are still unread. It returns false if conn has no descriptor to inspect.
 func PeerClosed(conn net.Conn) bool {
-	ended := false
+	closed := false
 	inspect(conn, func(descriptor uintptr) {
 		poll := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
 		ready, err := unix.Poll(poll, 0)
-		ended = err == nil && ready > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && ready > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return ended
+	return closed
 }
 
 // inspect calls a function with the descriptor of a connection, unless the connection
--- a/wire/report.go
+++ b/wire/report.go
@@ -6,7 +6,8 @@
 type Report struct {
 	// Attempt is the value of CallContext.Attempt.
 	Attempt string
-	// UnusedRetries is the number of delegated retries (CallContext.RetryAllowance) that were not used.
+	// UnusedRetries is the number of delegated retries (CallContext.RetryAllowance) that
+	// were not used.
 	UnusedRetries int
 	// Level is the lowest priority that would be admitted now by the node and by all
 	// nodes that it called for this request, 0 to 1024.
