--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -27,7 +27,7 @@
 
 var verdictNames = map[Verdict]string{Admitted: "in", BelowLevel: "below", QueueFull: "full", TooLate: "late"}
 
-// submit requests admission at a time after epoch. The deadline is left after that time.
+// submit requests admission at a time after epoch, with the time left until the deadline.
 func (tc *testController) submit(at time.Duration, name string, priority int, left time.Duration) {
 	tc.request(at, name, Request{Priority: priority, Deadline: epoch.Add(at + left)})
 }
@@ -257,7 +257,7 @@
 	// payment true
 }
 
-func BenchmarkAskAndDone(b *testing.B) {
+func BenchmarkSubmitAndDone(b *testing.B) {
 	controller := NewController(epoch, Config{})
 	for b.Loop() {
 		ticket := controller.Submit(epoch, Request{Priority: 500, Deadline: epoch.Add(time.Second)}, func(Verdict) {})
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -14,8 +14,8 @@
 // The share moves slowly because its effect is delayed: requests that were admitted a
 // moment ago are still on their way downstream.
 //
-// The process that a request enters at uses one gate per route when the policy has a
-// route table (plug-in shed). Without a route table, the callers' processes refuse by
+// When the policy has a route table, the process where a request enters the mesh uses one
+// gate per route (plug-in shed). Without a route table, the callers' processes refuse by
 // level instead (levelControl, plug-in routing). The levels of the back ends apply in
 // both cases.
 //
--- a/admission/pressure.go
+++ b/admission/pressure.go
@@ -20,8 +20,8 @@
 	WastedPressure = 10
 )
 
-// objectiveShare is the mean latency that a route aims at once its requests wait for
-// slots, as a share of its target latency. A higher share leaves too little time for
+// objectiveShare is the mean latency at which a gate keeps a route whose requests wait for
+// slots, as a share of the target latency. A higher share leaves too little time for
 // requests that take longer than others; a lower one leaves slots idle and refuses
 // requests that could have been served in time.
 const objectiveShare = 0.7
@@ -36,11 +36,12 @@
 	return pressure
 }
 
-// RoutePressure returns the pressure that a request counts at the gate of its route.
-// highest is the highest pressure that it met downstream. If the request waited and was
-// served, the result depends on the target latency instead (0 for none), so that waits
-// within the objective are allowed. A request that failed without waiting, for example by
-// a lost answer, is not a sign of overload.
+// RoutePressure returns the pressure with which a request counts at the gate of its route.
+// highest is the highest pressure that it met downstream; above 1, the request counts as
+// having waited. taken is its latency and target the target latency of the route, 0 for
+// none. With a target, a request that waited and was served counts with its latency as a
+// multiple of the objective, so that waits within the objective are allowed. A request
+// that failed without waiting, for example by a lost answer, is not a sign of overload.
 func RoutePressure(highest float64, failed bool, taken, target time.Duration) float64 {
 	waited := highest > 1
 	switch {
