--- a/balance/balance.go
+++ b/balance/balance.go
@@ -8,8 +8,8 @@
 //
 // Pick narrows the nodes down in this order:
 //
-//  1. the first group that is not empty of: nodes that admit the call's priority, available
-//     nodes, nodes that are not leaving, and all nodes (candidates);
+//  1. the first of these groups that is not empty: nodes that admit the call's priority,
+//     available nodes, nodes that are not leaving, all nodes (candidates);
 //  2. for a call that must not be repeated, the nodes with the lowest share of failed
 //     calls (reliable);
 //  3. the healthy nodes of the local zone, the zone of this process, while they have room
@@ -191,8 +191,9 @@
 	return local[b.config.Random(len(local))]
 }
 
-// candidates returns the first group of nodes that is not empty: those that admit the
-// priority, available ones (neither suspect nor ejected), those that are not leaving, all.
+// candidates returns the first of these groups that is not empty: nodes that admit the
+// priority, available nodes (neither leaving, suspect nor ejected), nodes that are not
+// leaving, all nodes.
 func (b *Balancer) candidates(now time.Time, requirements Requirements) []*nodeState {
 	var admitting, available, staying, all []*nodeState
 	for _, candidate := range b.list {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestRefusalKeepsLatency guards against taking a node that refuses at once for a fast one.
+// TestRefusalKeepsLatency guards against a node that looks fast because it refuses at once.
 func TestRefusalKeepsLatency(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer("a")
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -19,7 +19,8 @@
 	Unknown
 )
 
-// smoothing is the weight of one call in the smoothed latency.
+// smoothing is the weight of one call in the smoothed latency of a node and in a
+// DecayingShare.
 const smoothing = 0.1
 
 // Done records the end of a call for which Pick selected the node id. latency is the time
