--- a/retry/retry.go
+++ b/retry/retry.go
@@ -2,10 +2,10 @@
 // wait for its answer. Decide returns what follows an attempt: the call is sent to another
 // node at once, sent again after a pause, or not sent again.
 //
-// Each attempt offers the call to one node. It arrives if a back end may have received the
-// call. Attempts without a pause between them form a round.
+// Each attempt offers the call to one node. An attempt arrives if a back end may have
+// received the call. Attempts without a pause between them form a round.
 //
-// It owns these rules with their durations and bounds. It relies on the conclusions that
+// The package owns these rules with their durations and bounds. It relies on the conclusions that
 // package result attaches to result codes (result.Conclusion). Package retrybudget counts
 // the remaining retries. The plug-ins routing and retry collect the input, query the
 // budgets and carry out the decisions. The package does no I/O, reads no clock and keeps
