--- a/retrybudget/ratio.go
+++ b/retrybudget/ratio.go
@@ -23,7 +23,7 @@
 	return &Ratio{tokens: ratioBurst, filledAt: now}
 }
 
-// Call records the first attempt of a call.
+// Call records the first attempt of a call. ratio is the number of retries allowed per call.
 func (r *Ratio) Call(now time.Time, ratio float64) {
 	r.fill(now)
 	r.tokens = min(r.tokens+ratio, ratioBurst)
