--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -72,7 +72,7 @@
 // less is admitted. Too low a number lets tenants exceed their quotas.
 func (l *Limiter) SetProcesses(processes int) { l.processes = float64(max(processes, 1)) }
 
-// Refund uncounts an admitted request that did not run.
+// Refund removes an admitted request that did not run from the count of unreported ones.
 func (l *Limiter) Refund(tenant string) {
 	// A request that was already reported is not refunded; the rate of the quota makes up for it.
 	if a, hasQuota := l.accounts[tenant]; hasQuota && a.unreported > 0 {
--- a/quota/mesh_test.go
+++ b/quota/mesh_test.go
@@ -56,7 +56,7 @@
 	admitted map[string][]time.Duration
 	offered  map[string][]time.Duration
 	reports  int
-	bytes    int // of reports and answers as JSON, if measured
+	bytes    int // Size of all reports and answers as JSON, 0 unless simulation.measure is set.
 }
 
 const step = 10 * time.Millisecond
