--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -16,7 +16,8 @@
 	// ID identifies the incarnation that crashed.
 	ID string `json:"id"`
 	// Age is the time since the crash, in milliseconds. A process that forwards the report
-	// adds the time for which it has held it, by its own monotonic clock.
+	// adds the time for which it has held it, by its own clock, which must keep running
+	// while the machine is suspended (package clock).
 	Age int64 `json:"age"`
 	// Suspects are the requests in flight when the back end crashed, each once.
 	Suspects []Signature `json:"suspects"`
@@ -72,7 +73,8 @@
 const digestFactor = 0x9e3779b97f4a7c15
 
 // Digest returns a hash of the known crashes that are younger than digestShare of Keep, 0 if
-// there are none. Ledgers with equal digests hold the same ones.
+// there are none: of their ids, and of how many requests each lists and has cleared. Ledgers
+// with different digests differ in these crashes.
 func (l *Ledger) Digest(now time.Time) uint64 {
 	digest := uint64(0)
 	for id, known := range l.crashes {
--- a/quarantine/unanswered_test.go
+++ b/quarantine/unanswered_test.go
@@ -36,8 +36,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			requests := UnansweredRequests{}
-			for _, l := range c.unanswered {
-				requests.Add(start.Add(l.at), l.incarnation, signatureOf(l.request))
+			for _, added := range c.unanswered {
+				requests.Add(start.Add(added.at), added.incarnation, signatureOf(added.request))
 			}
 			expected := []Signature(nil)
 			for _, request := range c.suspects {
