--- a/spread/freshness.go
+++ b/spread/freshness.go
@@ -10,8 +10,9 @@
 // decides which processes read the store. A delayed message makes it too low, which only
 // delays a read; decisions that must not rest on an estimate use a Proof.
 //
-// Times are those of the monotonic clock of the process. Peers exchange ages, so that clocks
-// of different processes are never compared. A Freshness is not safe for concurrent use.
+// Times are those of a clock that keeps running while the machine is suspended (package
+// clock). Peers exchange ages, so that clocks of different machines are never compared. A
+// Freshness is not safe for concurrent use.
 type Freshness struct {
 	// Last time the document was known to be the newest revision, zero if never.
 	verified time.Time
--- a/spread/proof.go
+++ b/spread/proof.go
@@ -7,8 +7,9 @@
 // whichever processes were suspended. Anything that must end within a given time of a
 // revocation, such as trust in a key, must use a Proof; Freshness is only an estimate.
 //
-// Times are those of the monotonic clock of the process. The zero value is no proof. A Proof
-// is not safe for concurrent use.
+// Times must be those of a clock that keeps running while the machine is suspended (package
+// clock); otherwise a proof would look too recent after a suspension. The zero value is no
+// proof. A Proof is not safe for concurrent use.
 type Proof struct {
 	// Zero if there is no proof.
 	at time.Time
