--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -18,19 +18,19 @@
 	sequence uint64
 	draining bool
 	// Call Leave instead of Observe.
-	goodbye bool
-	// Call ObserveReplacement instead of Observe: this incarnation answered a request for id.
-	found string
+	leave bool
+	// Call ObserveReplacement instead of Observe: this incarnation refused a request sent to id.
+	replacement string
 }
 
 func applySteps(tracker *Tracker, steps []step) {
 	for _, s := range steps {
 		now := start.Add(s.at)
 		switch {
-		case s.goodbye:
+		case s.leave:
 			tracker.Leave(now, s.id)
-		case s.found != "":
-			tracker.ObserveReplacement(s.id, s.found)
+		case s.replacement != "":
+			tracker.ObserveReplacement(s.id, s.replacement)
 		default:
 			_ = tracker.Observe(now, Report{ID: s.id, Service: "s", Slots: 4, Sequence: s.sequence, Draining: s.draining})
 		}
@@ -54,14 +54,14 @@
 		{"late heartbeat does not reopen",
 			[]step{{id: "a", sequence: 3, draining: true}, {id: "a", sequence: 2}}, second, "a", false},
 		{"later heartbeat does not reopen", []step{{id: "a", sequence: 3, draining: true}, {id: "a", sequence: 4}}, second, "a", false},
-		{"goodbye", []step{{id: "a", sequence: 1}, {id: "a", goodbye: true}}, second, "a", false},
-		{"goodbye of an earlier incarnation", []step{{id: "a", sequence: 1}, {id: "b", sequence: 1}, {id: "a", goodbye: true}}, second, "b", true},
+		{"announced stop", []step{{id: "a", sequence: 1}, {id: "a", leave: true}}, second, "a", false},
+		{"announced stop of an earlier incarnation", []step{{id: "a", sequence: 1}, {id: "b", sequence: 1}, {id: "a", leave: true}}, second, "b", true},
 		{"new incarnation after a draining one", []step{{id: "a", sequence: 9, draining: true}, {id: "b", sequence: 1}}, second, "b", true},
 		{"late heartbeat of an earlier incarnation",
 			[]step{{id: "a", sequence: 9}, {id: "b", sequence: 1}, {id: "a", sequence: 9}}, second, "b", true},
-		{"another incarnation answered", []step{{id: "a", sequence: 9}, {id: "a", found: "b"}}, second, "", false},
-		{"another incarnation answered and sent a heartbeat", []step{{id: "a", sequence: 9}, {id: "a", found: "b"}, {id: "b", sequence: 1}}, second, "b", true},
-		{"late answer for an earlier incarnation", []step{{id: "a", sequence: 9}, {id: "b", sequence: 1}, {id: "a", found: "c"}}, second, "b", true},
+		{"request refused by another incarnation", []step{{id: "a", sequence: 9}, {id: "a", replacement: "b"}}, second, "", false},
+		{"request refused by another incarnation, then its heartbeat", []step{{id: "a", sequence: 9}, {id: "a", replacement: "b"}, {id: "b", sequence: 1}}, second, "b", true},
+		{"late refusal of a request to an earlier incarnation", []step{{id: "a", sequence: 9}, {id: "b", sequence: 1}, {id: "a", replacement: "c"}}, second, "b", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
