--- a/claims/safety_test.go
+++ b/claims/safety_test.go
@@ -122,7 +122,7 @@
 func (s *simulatedCluster) voteHolder(replica string, epoch uint64) string {
 	for _, id := range s.running() {
 		for _, vote := range s.replicas[id].TakenVotes() {
-			if vote.Replica == replica && vote.Epoch == epoch && rapid.IntRange(0, 2).Draw(s.t, "heard") > 0 {
+			if vote.Replica == replica && vote.Epoch == epoch && rapid.IntRange(0, 2).Draw(s.t, "transfer known") > 0 {
 				return id
 			}
 		}
@@ -232,8 +232,8 @@
 		s.collect()
 	case 7:
 		s.transferVote()
-		if rapid.IntRange(0, 3).Draw(s.t, "end") == 0 {
-			delete(s.replicas, s.pickRunning("ended"))
+		if rapid.IntRange(0, 3).Draw(s.t, "crash") == 0 {
+			delete(s.replicas, s.pickRunning("crashed"))
 			s.startReplica()
 		}
 	default:
