--- a/membership/config.go
+++ b/membership/config.go
@@ -51,8 +51,8 @@
 	// ForgetAfter is how long dead members are remembered and probed. Default 1h.
 	ForgetAfter time.Duration
 
-	// JoinTime is how long after its start a process sends a Sync, in each
-	// GossipInterval, to seeds and other addresses without a known live member.
+	// JoinTime is the time after its start during which a process sends a Sync, in
+	// each GossipInterval, to seeds and other addresses without a known live member.
 	// Longer finds more of a mesh that starts slowly, shorter sends fewer
 	// messages to addresses without a process. Default 5s.
 	JoinTime time.Duration
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -63,10 +63,10 @@
 }
 
 // membersIn returns the members in the given buckets, in order of id.
-func (m *Machine) membersIn(parts [bucketCount]bool) []Member {
+func (m *Machine) membersIn(buckets [bucketCount]bool) []Member {
 	found := []Member{}
 	for _, member := range m.Members() {
-		if parts[bucketOf(member.ID)] {
+		if buckets[bucketOf(member.ID)] {
 			found = append(found, member)
 		}
 	}
--- a/membership/join.go
+++ b/membership/join.go
@@ -1,7 +1,8 @@
 package membership
 
-// A process that knows live members tries an unknown address in one of this many probe
-// rounds, to find parts of the mesh that it lost contact with.
+// unknownAddressOdds is the average number of probe rounds in which a process that knows
+// live members tries one unknown address, to find parts of the mesh that it lost contact
+// with.
 const unknownAddressOdds = 5
 
 // unknownAddress returns a seed or the address of a dead member to try in this probe
