--- a/policy/editor/editor.go
+++ b/policy/editor/editor.go
@@ -67,7 +67,7 @@
 //
 //	PolicyInvalid, NotFound  the edit is invalid; nothing was written
 //	StoreUnavailable         the store did not reply; nothing was written
-//	EditConflict             concurrent edits won each attempt; nothing was written
+//	EditConflict             another edit was written first at each attempt; nothing was written
 //	EditOutcomeUnknown       the store did not confirm whether the edit was written
 func (e *Editor) Apply(ctx context.Context, changes []policy.Change) (*policy.Document, error) {
 	id := uuid.NewString()
--- a/policy/index.go
+++ b/policy/index.go
@@ -26,7 +26,7 @@
 type callEntry struct {
 	pattern    Pattern
 	effective  Effective
-	repeatable *bool // as in serviceEntry
+	repeatable *bool // The value set in the tree, as in serviceEntry.
 }
 
 // NewIndex returns the Index of a document, which must not be changed afterwards. A nil
