--- a/kernel/boundary.go
+++ b/kernel/boundary.go
@@ -25,7 +25,9 @@
 type segment struct {
 	length   int
 	complete bool // The request ends with this segment.
-	simple   bool // Only with complete: a GET or HEAD without a body on a persistent connection.
+	// The request is a GET or HEAD without a body, and the connection stays open after it.
+	// It is false unless complete is true.
+	simple bool
 }
 
 // next returns the prefix of data that belongs to the current request, or to a new one
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -77,7 +77,7 @@
 	// send one.
 	CallerTimeout time.Duration
 	// Pressure is the highest pressure seen by an attempt of the call: the time spent in
-	// queues for slots, as a multiple of its target.
+	// a queue for a slot, as a multiple of the queue time of the policy.
 	Pressure float64
 	// CapacityAfter is the estimated time until a call like this one can be admitted, 0 when
 	// unknown. It is set by the plug-in that admits calls by route.
--- a/kernel/caller.go
+++ b/kernel/caller.go
@@ -34,9 +34,9 @@
 // callerConn is a connection on which callers may pipeline requests.
 //
 // It passes one request at a time to Go's server and keeps the bytes that follow.
-// Requests after a simple one are served concurrently with it if start accepts them.
-// While a request is served, Go's server detects the close of the connection with a read
-// of one byte. That read returns only at the close, even if more requests arrive.
+// Requests after a simple one (segment.simple) are served concurrently with it if start
+// accepts them. While a request is served, Go's server detects the close of the connection
+// with a read of one byte. That read returns only at the close, even if more requests arrive.
 //
 // When the ends of requests are not known, the server gets all bytes. The first byte
 // after the current request then ends the server's detection of the close, and
--- a/kernel/lifecycle.go
+++ b/kernel/lifecycle.go
@@ -93,7 +93,7 @@
 	close(p.stopped)
 }
 
-// drainHookTimeout is the minimum time given to the OnDrain functions.
+// drainHookTimeout is the minimum timeout of the OnDrain functions.
 const drainHookTimeout = 5 * time.Second
 
 // peerNotice is the time between the announcement to the peers and the refusal of
--- a/kernel/listeners.go
+++ b/kernel/listeners.go
@@ -19,7 +19,7 @@
 	targets := []struct {
 		address string
 		into    *net.Listener
-		wanted  bool
+		needed  bool
 	}{
 		{p.Settings.Listen, &p.listeners.traffic, true},
 		{p.Settings.Outbound, &p.listeners.outbound, p.IsNode()},
@@ -27,7 +27,7 @@
 		{p.Settings.Admin, &p.listeners.admin, true},
 	}
 	for _, target := range targets {
-		if !target.wanted {
+		if !target.needed {
 			continue
 		}
 		listener, err := socket.Listen(target.address)
--- a/kernel/outbound_test.go
+++ b/kernel/outbound_test.go
@@ -53,6 +53,8 @@
 	return r
 }
 
+// TestEntryCallFromOutside guards against trusting internal headers of an external caller,
+// and against a deadline later than that of the caller or of the route.
 func TestEntryCallFromOutside(t *testing.T) {
 	is := is.New(t)
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "first", "500"))
@@ -69,6 +71,8 @@
 	is.True(call.Deadline.Left() <= 2*time.Second) // the route's timeout
 }
 
+// TestEntryCallJoinsItsParent guards against treating a call of the back end as a new user
+// request.
 func TestEntryCallJoinsItsParent(t *testing.T) {
 	is := is.New(t)
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "parent/1", "5000"))
@@ -84,6 +88,8 @@
 	is.True(call.External) // an unknown parent is ignored
 }
 
+// TestEntryRefusals guards against refusing a request as unroutable before the routes are
+// known.
 func TestEntryRefusals(t *testing.T) {
 	is := is.New(t)
 	p := entryProcess()
--- a/kernel/peer.go
+++ b/kernel/peer.go
@@ -56,8 +56,9 @@
 	c.schedulePoll()
 }
 
-// watch arranges that onClose is called, until unwatch, when the peer closes the connection
-// while the server has read a byte of a later request.
+// watch calls onClose when the peer closes the connection, until unwatch is called. It polls
+// only after the server has read a byte of a later request, because the server itself detects
+// the close until then.
 func (c *callerConn) watch(onClose func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// watchPeer arranges that onClose is called, until stop, when the caller of a request closes
-// its connection and Go's server cannot detect that.
+// watchPeer calls onClose when the caller of a request closes its connection and Go's server
+// cannot detect that, until stop is called.
 func watchPeer(r *http.Request, onClose func()) (stop func()) {
 	conn := callerConnOf(r)
 	if conn == nil {
--- a/kernel/signature.go
+++ b/kernel/signature.go
@@ -2,8 +2,8 @@
 
 import "github.com/loomcleat/loomcleat/quarantine"
 
-// Signature returns the signature of the request, which is the same in all processes and
-// for all attempts of its caller.
+// Signature returns the signature of the request. It is the same in all processes, and for
+// each retry by the caller.
 func (c *Call) Signature() quarantine.Signature {
 	request := quarantine.Request{Method: c.Method, Host: c.Host, Tenant: c.Tenant, Body: c.Fingerprint}
 	if c.URL != nil {
--- a/kernel/transmit_test.go
+++ b/kernel/transmit_test.go
@@ -129,6 +129,8 @@
 	}
 }
 
+// TestTransmitterOutcomes guards against reporting a request that was sent as not run, and
+// one that was not sent as possibly run.
 func TestTransmitterOutcomes(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
