--- a/result/retryafter.go
+++ b/result/retryafter.go
@@ -45,11 +45,11 @@
 	ClaimUnavailable: {usual: usualWait},
 	KeysUnproven:     {usual: usualWait},
 
-	// The store limits the rate of requests per second.
+	// The store limits the number of requests per second.
 	StoreUnavailable: {usual: usualWait},
 
-	// Quota: when the tenant sends less, the coordinator receives that with the next
-	// report, within a second.
+	// Quota: when the tenant sends fewer requests, the next report to the coordinator
+	// shows it, within a second.
 	QuotaExceeded: {usual: usualWait, minimum: minimumQuotaWait},
 }
 
