--- a/plugin/configsync/proof.go
+++ b/plugin/configsync/proof.go
@@ -37,7 +37,7 @@
 // time allows for failed attempts.
 const (
 	// peerProofShare is the age of the proof, as a share of the revocation time, above which
-	// peers are requestedAt.
+	// a newer one is requested from peers.
 	peerProofShare = 0.6
 	// storeProofShare is the age of the proof, as a share of the revocation time, above which
 	// the store is read.
--- a/plugin/instance/backend.go
+++ b/plugin/instance/backend.go
@@ -13,12 +13,12 @@
 )
 
 // closeDivisor divides backend_drain: a leaving back end still gets requests for one part of it, so
-// that callers that don't know yet lose nothing. The rest is a margin, since the back end relies on
-// getting no new work after backend_drain.
+// that requests of processes that haven't received the announcement yet are not refused. The rest
+// is a margin, since the back end relies on getting no new work after backend_drain.
 const closeDivisor = 2
 
 // announceInterval is the time after which the state is announced again even if it has not changed,
-// in case the last announcement differs from it.
+// since an announcement is dropped when the queue of the control loop is full.
 const announceInterval = time.Second
 
 // plugin tracks the back end of one node. The tracker is owned by the control loop.
--- a/plugin/quota/coordinator.go
+++ b/plugin/quota/coordinator.go
@@ -14,7 +14,8 @@
 
 // coordinator returns the process that adds up the counts of all processes: the first of those that
 // watch the store, whose answers also prove the policy. It skips processes that did not answer
-// within the last skipTime, and returns false if there is none.
+// within the last skipTime. It returns false if none is left, and the next call then considers all
+// processes again.
 func (l *limiter) coordinator(now time.Time) (membership.Member, bool) {
 	members := *l.process.Members.Load()
 	if len(members) < 2 && time.Since(l.process.Started) < joinTime {
--- a/plugin/retry/limiter_test.go
+++ b/plugin/retry/limiter_test.go
@@ -30,6 +30,8 @@
 	return process
 }
 
+// TestSharedLimiter guards against charging the budget for retries after refusals by nodes, and
+// against retries after refusals by back ends or lost answers that cost nothing.
 func TestSharedLimiter(t *testing.T) {
 	unreachable, ok := failWith(result.NodeRefused), answerWith(http.StatusOK)
 	cases := []struct {
--- a/plugin/retry/retry_test.go
+++ b/plugin/retry/retry_test.go
@@ -33,6 +33,8 @@
 	return attempt{err: &result.Error{Code: code, Ran: true}}
 }
 
+// TestAttempts guards against retries that the outcome of an attempt or the budget does not allow,
+// and against an error that is reported as not run although an attempt may have run.
 func TestAttempts(t *testing.T) {
 	ok := answerWith(200)
 	cases := []struct {
@@ -101,9 +103,9 @@
 	}
 }
 
-// TestCallWithUpstreamWorkWaitsForAbsentNode guards against failing a call that has upstream work
+// TestCallWithUpstreamWorkWaitsForUnavailableNode guards against failing a call that has upstream work
 // while a node restarts. A call without upstream work is refused at once, as when nodes are full.
-func TestCallWithUpstreamWorkWaitsForAbsentNode(t *testing.T) {
+func TestCallWithUpstreamWorkWaitsForUnavailableNode(t *testing.T) {
 	cases := []struct {
 		name   string
 		hops   int
--- a/plugin/shed/gates.go
+++ b/plugin/shed/gates.go
@@ -22,8 +22,8 @@
 // routeGate is the gate of one route.
 type routeGate struct {
 	gate *admission.Gate
-	// maximumTimeout is the longest time that a caller has given a request, taken as that of a
-	// first attempt. A request with less time has spent the difference on earlier attempts.
+	// maximumTimeout is the longest timeout that a caller has sent, assumed to be that of first
+	// attempts. A request with a shorter one has spent the difference on earlier attempts.
 	maximumTimeout time.Duration
 	// Last logged opening.
 	opening opening
