--- a/settings/load.go
+++ b/settings/load.go
@@ -37,7 +37,8 @@
 
 // Load returns the defaults of role, overridden by the settings file, and the line of each
 // key. It checks syntax, keys and types only; call Check after flags have been applied.
-// Without a file, it returns the defaults.
+// Without a file, it returns the defaults. It returns a result.SettingsInvalid error if the
+// file cannot be read or is invalid.
 func Load(role Role, file string) (Settings, Lines, error) {
 	loaded := Default(role)
 	if file == "" {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -15,7 +15,7 @@
 
 // Roles.
 const (
-	RoleNode    Role = "node"    // beside one back end
+	RoleNode    Role = "node"    // runs beside one back end
 	RoleGateway Role = "gateway" // accepts callers' requests
 )
 
@@ -30,8 +30,9 @@
 	// Role is set by the command, not in the file.
 	Role Role `yaml:"-"`
 
-	// ID identifies this process in the mesh. It must differ at each start, because a
-	// restarted process has lost its state. Default: random.
+	// ID is the first part of this process's ID in the mesh. A random part is added at each
+	// start, because a restarted process has lost its state and must not be taken for the
+	// previous one. Default: the role.
 	ID string `yaml:"id"`
 
 	// Region is the name of the region, 1 to 63 characters of a-z, 0-9 and '-'.
@@ -77,8 +78,9 @@
 	// BackendDrain is the time after which a back end that announced that it is leaving
 	// receives no more requests, 2ms to 1m. The node stops sending after half of it, so
 	// that requests already on their way arrive in time. With a longer time, fewer calls
-	// are refused of processes that do not know of the announcement yet. It must not
-	// exceed the time guaranteed to the back end. Nodes only. Default 2s.
+	// from processes that do not know of the announcement yet are refused. It must not
+	// exceed the time after which the back end relies on receiving no more requests. Nodes
+	// only. Default 2s.
 	BackendDrain Duration `yaml:"backend_drain"`
 
 	// Control is the address for messages between processes. Required.
@@ -87,7 +89,8 @@
 	// Admin is the address for metrics and probes. Default "127.0.0.1:0".
 	Admin string `yaml:"admin"`
 
-	// Seeds are control addresses of other processes, which are tried until one answers.
+	// Seeds are control addresses of other processes, through which this process joins the
+	// mesh. Seeds at which no live member is known are tried repeatedly.
 	Seeds []string `yaml:"seeds"`
 
 	// Store is the base URL of the key-value store. Empty: no store; the default policy
@@ -114,9 +117,9 @@
 	StopWithin Duration `yaml:"stop_within"`
 
 	// StoreWatches is the number of processes that watch the store, 1 to 1000; the
-	// others receive changes from them. More watchers send the store more calls, each
-	// one call per document every 0.7s. With fewer, a change is delayed longer when the
-	// watchers are cut off from the store. Default 3.
+	// others receive changes from them. Each watcher sends the store one call per document
+	// every 0.7s. With fewer watchers, a change is delayed longer when they are cut off
+	// from the store. Default 3.
 	StoreWatches int `yaml:"store_watches"`
 
 	// PolicyRequired makes the process refuse requests until it has received a policy
--- a/settings/stop.go
+++ b/settings/stop.go
@@ -13,7 +13,7 @@
 )
 
 // StopTimes returns how long a stopping process still accepts requests, and how long it then
-// waits for requests in flight.
+// waits for requests in flight. Both are shares of StopWithin if that is set.
 func (s *Settings) StopTimes() (announce, drain time.Duration) {
 	if s.StopWithin == 0 {
 		return s.AnnounceTime.Std(), s.DrainTimeout.Std()
