--- a/wire/dialect.go
+++ b/wire/dialect.go
@@ -121,7 +121,8 @@
 	}
 }
 
-// IsNotRun reports whether a back end's answer guarantees that the request was not run.
+// IsNotRun reports whether a back end's answer guarantees that the request was not run, by
+// the header NotRun or by status 421. In a dialect without that header, no answer does.
 func (d *Dialect) IsNotRun(answer *http.Response) bool {
 	if d.NotRun == "" {
 		return false
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -114,7 +114,7 @@
 	Revisions Revisions           `json:"revisions"`
 	Members   []membership.Member `json:"members"`
 	InFlight  int64               `json:"in_flight"`
-	Limit     int                 `json:"limit"`
-	Level     int                 `json:"level"`
-	Claims    int                 `json:"claims"`
+	Limit     int                 `json:"limit"`  // on requests in flight at the back end; 0 for a gateway
+	Level     int                 `json:"level"`  // lowest priority that is admitted now, 0 to 1024; 0 for a gateway
+	Claims    int                 `json:"claims"` // claims held as a replica
 }
