--- a/store/store.go
+++ b/store/store.go
@@ -70,7 +70,7 @@
 }
 
 // Registry is the service with which processes register, so that others find them in the
-// MachineList. Both may be the same service.
+// MachineList. Both may be the same service. Errors are as for Store.
 type Registry interface {
 	// Register adds a process. It replaces any entry with the same control address.
 	Register(ctx context.Context, machine Machine) error
@@ -79,7 +79,7 @@
 }
 
 // MachineList is the platform's list of machines. It may be out of date: a listed machine
-// may no longer exist, and a new one may be missing.
+// may no longer exist, and a new one may be missing. Errors are as for Store.
 type MachineList interface {
 	List(ctx context.Context) ([]Machine, error)
 }
