--- a/transport/exchange/client_test.go
+++ b/transport/exchange/client_test.go
@@ -156,7 +156,7 @@
 	surplus <- struct{}{}
 	<-surplus
 	good := startServer(t, respondToEach("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"))
-	// New connections go to the good peer, so its response shows that the pooled
+	// New connections go to the good server, so its response shows that the pooled
 	// connection was not reused.
 	client.dial = func(ctx context.Context, network, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, good.address)
--- a/transport/exchange/conn.go
+++ b/transport/exchange/conn.go
@@ -29,7 +29,7 @@
 	written          atomic.Int64  // request bytes written
 	headBudget       int64         // remaining bytes allowed before the body
 	reader           *bufio.Reader // nil between exchanges
-	stopContextWatch func() bool   // unregisters the close on the end of the context
+	stopContextWatch func() bool   // unregisters the function that closes the connection when the context ends
 	sent             chan error    // result of a background write; nil if the write is synchronous
 }
 
