--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -94,8 +94,8 @@
 	return found
 }
 
-// addState adds the state of a tenant at one process. The admitted share of the sum is the
-// lowest of all processes.
+// addState adds the state of a tenant at one process to the tenant's sum. The sum's Admit is
+// the lowest of all processes.
 func addState(byName map[string]*tenantUse, state quota.State) {
 	use, exists := byName[state.Tenant]
 	if !exists {
