--- a/internal/explain/context.go
+++ b/internal/explain/context.go
@@ -6,8 +6,10 @@
 	"github.com/loomcleat/loomcleat/event"
 )
 
-// contextOf returns the last line before the cause for each event of the process that wrote
-// it and of the nodes that it tried.
+// contextOf returns lines of the process that wrote the cause and of the nodes that it tried:
+// the last one of each event and process. Lines of the process itself are from before the
+// cause; lines of the nodes may be from after it, since times of different logs are not
+// compared.
 func (x *index) contextOf(cause Record) []Record {
 	origins := []string{cause.Origin}
 	for _, record := range x.records {
--- a/internal/explain/index.go
+++ b/internal/explain/index.go
@@ -32,8 +32,8 @@
 }
 
 // steps returns the lines of a request, causes first: those of the calls made for it,
-// those of nodes that received it, the repeated attempts of the process that sent it, and
-// the outcome at that process. It skips requests in seen and adds those that it visits.
+// those of nodes that received it, the retries of the process that sent it, and the outcome
+// at that process. It skips requests in seen and adds those that it visits.
 func (x *index) steps(request string, depth int, seen map[string]bool) []Step {
 	if seen[request] {
 		return nil
@@ -43,9 +43,9 @@
 	for _, child := range x.children[request] {
 		steps = append(steps, x.steps(child, depth+1, seen)...)
 	}
-	for _, rank := range []func(Record) bool{isInbound, isRepeat, isOutcome} {
+	for _, matches := range []func(Record) bool{isInbound, isRetry, isOutcome} {
 		for _, record := range x.byRequest[request] {
-			if rank(record) {
+			if matches(record) {
 				steps = append(steps, Step{Depth: depth, Record: record})
 			}
 		}
@@ -55,9 +55,9 @@
 
 func isInbound(record Record) bool { return record.Direction == kernel.DirectionInbound }
 
-func isRepeat(record Record) bool { return record.Event == event.AttemptRepeated }
+func isRetry(record Record) bool { return record.Event == event.AttemptRepeated }
 
-func isOutcome(record Record) bool { return !isInbound(record) && !isRepeat(record) }
+func isOutcome(record Record) bool { return !isInbound(record) && !isRetry(record) }
 
 // hasOwnReason reports whether a line can be a cause. A call that ended because its caller
 // cancelled it or went away is only an effect.
