--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -19,9 +19,9 @@
 	Steps []Step `json:"Steps"`
 	// Cause is the line that most likely determined the outcome.
 	Cause Record `json:"Cause"`
-	// Context are earlier lines of the process that wrote Cause, and of the nodes that
-	// it tried, which show the state in which it decided. Only the last line of each
-	// event and process is included.
+	// Context are lines that show the state in which the process that wrote Cause decided:
+	// its own lines from before Cause, and lines of the nodes that it tried, which may be
+	// from after it. Only the last line of each event and process is included.
 	Context []Record `json:"Beliefs"`
 	// OtherRequests are the names of other requests with the same signature, in the order
 	// of the logs. They are usually retries by the same client.
