--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -59,11 +59,14 @@
 
 // Mesh is a running mesh.
 type Mesh struct {
+	// Platform is the stub of the key-value store and the machine list, at PlatformURL.
 	Platform    *consul.Server
 	PlatformURL string
-	Store       *consulkv.Client
-	Nodes       []*Node
-	Gateways    []*kernel.Process
+	// Store is a client of Platform.
+	Store *consulkv.Client
+	// Nodes and Gateways are in the order of their start and include stopped ones.
+	Nodes    []*Node
+	Gateways []*kernel.Process
 
 	config MeshConfig
 	server *http.Server
@@ -72,7 +75,8 @@
 	count  int
 }
 
-// StartMesh starts a mesh and waits until all processes are ready or ctx is done.
+// StartMesh starts a mesh and waits until all processes are ready. It returns an error if
+// the mesh cannot be started or ctx is done first.
 func StartMesh(ctx context.Context, config MeshConfig) (*Mesh, error) {
 	if len(config.Zones) == 0 {
 		config.Zones = []string{"z1"}
