--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -13,10 +13,10 @@
 // same seed are identical.
 type MembershipMesh struct {
 	*Engine
-	config  MembershipConfig
-	random  *rand.Rand
-	members []*simulatedMember
-	byAddr  map[string]*simulatedMember
+	config    MembershipConfig
+	random    *rand.Rand
+	members   []*simulatedMember
+	byAddress map[string]*simulatedMember
 	// Changes lists the membership changes that members have seen, oldest first.
 	Changes []StatusChange
 }
@@ -61,7 +61,7 @@
 	if config.Interval == 0 {
 		config.Interval = time.Second
 	}
-	m := &MembershipMesh{Engine: New(), config: config, byAddr: map[string]*simulatedMember{}}
+	m := &MembershipMesh{Engine: New(), config: config, byAddress: map[string]*simulatedMember{}}
 	m.random = rand.New(rand.NewPCG(config.Seed, 1))
 	for i := range config.Members {
 		m.add(i)
@@ -82,7 +82,7 @@
 	member.machine = membership.New(config, m.Now())
 	member.machine.SetSeeds([]string{address(0)})
 	m.members = append(m.members, member)
-	m.byAddr[address(i)] = member
+	m.byAddress[address(i)] = member
 	m.After(time.Duration(m.random.Int64N(int64(m.config.Interval))), func() { m.tick(member) })
 }
 
@@ -126,7 +126,7 @@
 			m.receive(from, func() { m.deliver(from, from.machine.Failed(m.Now(), send)) })
 		}
 	})
-	to := m.byAddr[send.To]
+	to := m.byAddress[send.To]
 	if !m.reachable(from, to) || m.lost() {
 		return
 	}
@@ -134,7 +134,8 @@
 		m.receive(to, func() {
 			reply := to.machine.Receive(m.Now(), send.Message)
 			if send.Message.Kind == membership.PingThrough {
-				target := m.byAddr[send.Message.Target]
+				// The probe of the target and its reply can each be lost.
+				target := m.byAddress[send.Message.Target]
 				reply.OK = m.reachable(to, target) && !target.frozen && !m.lost() && !m.lost() && !m.late(target)
 			}
 			if m.lost() || !m.reachable(to, from) {
