--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -29,11 +29,11 @@
 // Guards against a replay that passes whatever the code decides.
 func TestMismatchReported(t *testing.T) {
 	is := is.New(t)
-	trace := Trace{Player: "spread", Steps: []Step{{Do: "offer", Count: 2, Expect: "revision 2"}, {Do: "offer", Count: 1, Expect: "revision 1"}}}
+	trace := Trace{Runner: "spread", Steps: []Step{{Do: "offer", Count: 2, Expect: "revision 2"}, {Do: "offer", Count: 1, Expect: "revision 1"}}}
 	mismatches, err := Run(trace)
 	is.NoErr(err)
 	is.Equal(len(mismatches), 1)
 	is.Equal(mismatches[0].Number, 2)
-	_, err = Run(Trace{Player: "spread", Steps: []Step{{Do: "sing"}}})
+	_, err = Run(Trace{Runner: "spread", Steps: []Step{{Do: "sing"}}})
 	is.True(err != nil)
 }
--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -131,7 +131,7 @@
 	now := start.Add(step.At)
 	replica := r.replicas[step.Who]
 	switch step.Do {
-	case "ask": // Run asks replica Who for the claim at epoch Count.
+	case "ask": // Run requests the claim from replica Who at epoch Count.
 		claim := claims.Claim{Key: claims.NewKey(step.Key), Run: step.Run}
 		return claimVerdicts[replica.RequestClaim(now, 0, uint64(step.Count), claim).Verdict], nil
 	case "withdraw":
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -20,8 +20,8 @@
 	Name string `yaml:"name"`
 	// Source is the test or run that the trace was recorded from.
 	Source string `yaml:"source"`
-	// Player selects the decision code: admission, budget, claims, gossip or spread.
-	Player  string  `yaml:"player"`
+	// Runner selects the decision code: admission, budget, claims, gossip or spread.
+	Runner  string  `yaml:"player"`
 	Setting Setting `yaml:"setting"`
 	Steps   []Step  `yaml:"steps"`
 }
@@ -47,7 +47,7 @@
 	Who    string        `yaml:"who"`    // Process, account or request that the step is about.
 	From   string        `yaml:"from"`   // Process or account on the other side.
 	Key    string        `yaml:"key"`    // Claims: idempotency key.
-	Run    string        `yaml:"run"`    // Claims: execution that asks.
+	Run    string        `yaml:"run"`    // Claims: execution that requests the claim.
 	Class  int           `yaml:"class"`  // Admission: priority class.
 	Left   time.Duration `yaml:"left"`   // Admission: time to the deadline; gossip: time limit.
 	Own    time.Duration `yaml:"own"`    // Admission: time spent in the back end itself.
@@ -56,7 +56,8 @@
 	Expect string        `yaml:"expect"` // Expected outcome; not checked if empty.
 }
 
-// runner runs the steps of one kind of trace. step returns the outcome.
+// runner runs the steps of one kind of trace. step returns the outcome, whose text is part
+// of the trace format.
 type runner interface {
 	step(step Step) (string, error)
 }
@@ -79,8 +80,8 @@
 	if err := yaml.UnmarshalWithOptions(data, &trace, yaml.Strict()); err != nil {
 		return Trace{}, fmt.Errorf("%s: %w", file, err)
 	}
-	if _, exists := runners[trace.Player]; !exists {
-		return Trace{}, fmt.Errorf("%s: unknown player %q", file, trace.Player)
+	if _, exists := runners[trace.Runner]; !exists {
+		return Trace{}, fmt.Errorf("%s: unknown player %q", file, trace.Runner)
 	}
 	return trace, nil
 }
@@ -96,10 +97,11 @@
 	return fmt.Sprintf("step %d at %s, %s %s: got %q, want %q", m.Number, m.Step.At, m.Step.Do, m.Step.Who, m.Got, m.Step.Expect)
 }
 
-// Run runs a trace and returns the steps whose outcome differs from the expected one. It
-// returns an error for an unknown action.
+// Run runs a trace and returns the steps whose outcome differs from the expected one. The
+// trace must select known decision code, which Load checks. Run returns an error for an
+// unknown action.
 func Run(trace Trace) ([]Mismatch, error) {
-	r := runners[trace.Player](trace.Setting)
+	r := runners[trace.Runner](trace.Setting)
 	mismatches := []Mismatch{}
 	for i, step := range trace.Steps {
 		got, err := r.step(step)
