--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -46,7 +46,7 @@
 
 // Outcome is the outcome of a request for its caller.
 type Outcome struct {
-	Status  int  // HTTP status. 0: the connection broke.
+	Status  int  // HTTP status. 0: no complete response.
 	Correct bool // The response is complete and belongs to this request.
 	// Planned is set if only a planned stop of the process can explain a broken connection.
 	Planned bool
@@ -75,9 +75,9 @@
 
 // crasher is the state of a request that crashes back ends, over all its attempts.
 type crasher struct {
-	instances map[string]bool // Incarnations that it reached.
-	thirdAt   time.Time       // When it reached the third one.
-	lateRuns  int             // Runs later than settleTime after that.
+	incarnations map[string]bool // Incarnations that it reached.
+	thirdAt      time.Time       // When it reached the third one.
+	lateRuns     int             // Runs later than settleTime after that.
 }
 
 // Kind is a kind of request.
@@ -135,11 +135,11 @@
 
 // RequestStarted records that an incarnation has started to run a request. settled is false
 // if the state of processes may still be out of date after a fault.
-func (c *Checker) RequestStarted(now time.Time, id, instance string, settled bool) {
+func (c *Checker) RequestStarted(now time.Time, id, incarnation string, settled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if since, acknowledged := c.draining[instance]; acknowledged && now.Sub(since) > drainTime {
-		c.violate(now, NoRequestsAfterDrain, "request %s reached %s %s after the node acknowledged that it is draining", id, instance, now.Sub(since).Round(time.Millisecond))
+	if since, acknowledged := c.draining[incarnation]; acknowledged && now.Sub(since) > drainTime {
+		c.violate(now, NoRequestsAfterDrain, "request %s reached %s %s after the node acknowledged that it is draining", id, incarnation, now.Sub(since).Round(time.Millisecond))
 	}
 	state, exists := c.requests[id]
 	if !exists {
@@ -156,15 +156,15 @@
 		c.violate(now, RefusedNotRun, "request %s (%s) ran after its caller got status %d", id, state.kind.Name, state.refusal)
 	}
 	if state.kind.Crasher != "" {
-		c.crasherStarted(now, state.kind.Crasher, instance, settled)
+		c.crasherStarted(now, state.kind.Crasher, incarnation, settled)
 	}
 }
 
 // crasherStarted counts a run of a request that crashes back ends. The caller holds the mutex.
-func (c *Checker) crasherStarted(now time.Time, name, instance string, settled bool) {
+func (c *Checker) crasherStarted(now time.Time, name, incarnation string, settled bool) {
 	state, exists := c.crashers[name]
 	if !exists {
-		state = &crasher{instances: map[string]bool{}}
+		state = &crasher{incarnations: map[string]bool{}}
 		c.crashers[name] = state
 	}
 	if settled && !state.thirdAt.IsZero() && now.Sub(state.thirdAt) > settleTime {
@@ -173,17 +173,17 @@
 			c.violate(now, CrashesBounded, "%s reached back ends %d more times, %s after the third crash", name, state.lateRuns, now.Sub(state.thirdAt).Round(time.Millisecond))
 		}
 	}
-	state.instances[instance] = true
-	if len(state.instances) == crashesUntilStopped && state.thirdAt.IsZero() {
+	state.incarnations[incarnation] = true
+	if len(state.incarnations) == crashesUntilStopped && state.thirdAt.IsZero() {
 		state.thirdAt = now
 	}
 }
 
 // DrainAcknowledged records that the node has acknowledged that an incarnation is draining.
-func (c *Checker) DrainAcknowledged(now time.Time, instance string) {
+func (c *Checker) DrainAcknowledged(now time.Time, incarnation string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.draining[instance] = now
+	c.draining[incarnation] = now
 }
 
 // Violate records a violated invariant that was detected outside the Checker.
@@ -219,13 +219,13 @@
 	return sent, served
 }
 
-// Crashes returns the number of back ends that each crashing request has reached.
+// Crashes returns the number of incarnations that each crashing request has reached.
 func (c *Checker) Crashes() map[string]int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	crashes := map[string]int{}
 	for name, state := range c.crashers {
-		crashes[name] = len(state.instances)
+		crashes[name] = len(state.incarnations)
 	}
 	return crashes
 }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -67,20 +67,20 @@
 		}, []Invariant{NoRequestsAfterDrain}},
 		{"crashes, stopped in time", func(c *Checker) {
 			c.RequestSent("a", crashes)
-			for _, instance := range []string{"i", "j", "k", "l", "m", "n", "o"} {
-				c.RequestStarted(at(0), "a", instance, true)
+			for _, incarnation := range []string{"i", "j", "k", "l", "m", "n", "o"} {
+				c.RequestStarted(at(0), "a", incarnation, true)
 			}
 		}, nil},
 		{"crashes, not stopped", func(c *Checker) {
 			c.RequestSent("a", crashes)
-			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
-				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", instance, true)
+			for i, incarnation := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
+				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", incarnation, true)
 			}
 		}, []Invariant{CrashesBounded}},
 		{"crashes, not stopped, not settled", func(c *Checker) {
 			c.RequestSent("a", crashes)
-			for i, instance := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
-				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", instance, false)
+			for i, incarnation := range []string{"i", "j", "k", "l", "m", "n", "o", "p"} {
+				c.RequestStarted(at(time.Duration(i)*2*settleTime), "a", incarnation, false)
 			}
 		}, nil},
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func crashBackend(_ *fleet, n *node, _ time.Duration) { n.backend.Crash(n.backend.Instance()) }
+func crashBackend(_ *fleet, n *node, _ time.Duration) { n.backend.Crash(n.backend.Incarnation()) }
 
 func drainBackend(f *fleet, n *node, _ time.Duration) {
 	n.backend.Drain(2 * drainTime)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -121,20 +121,22 @@
 	return f.activeFaults == 0 && time.Since(f.lastFault) > settleTime
 }
 
-func (f *fleet) RequestStarted(requestID, instance string) {
-	f.checker.RequestStarted(time.Now(), requestID, instance, f.settled())
+func (f *fleet) RequestStarted(requestID, incarnation string) {
+	f.checker.RequestStarted(time.Now(), requestID, incarnation, f.settled())
 }
 
 // Crashed starts the back end again after a delay.
-func (f *fleet) Crashed(instance string) {
+func (f *fleet) Crashed(incarnation string) {
 	for _, n := range f.nodes {
-		if n.backend.Instance() == instance {
+		if n.backend.Incarnation() == incarnation {
 			time.AfterFunc(backendRestartDelay, func() { f.restartBackend(n) })
 		}
 	}
 }
 
-func (f *fleet) DrainAcknowledged(instance string) { f.checker.DrainAcknowledged(time.Now(), instance) }
+func (f *fleet) DrainAcknowledged(incarnation string) {
+	f.checker.DrainAcknowledged(time.Now(), incarnation)
+}
 
 // restartNode starts the process of a node again, unless the fleet is being closed.
 func (f *fleet) restartNode(n *node) {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -65,7 +65,7 @@
 	Seconds    float64        `json:"seconds"`
 	Sent       map[string]int `json:"sent"`    // Requests sent, by kind.
 	Served     map[string]int `json:"served"`  // Requests answered correctly, by kind.
-	Crashes    map[string]int `json:"crashes"` // Back ends crashed, by crashing request.
+	Crashes    map[string]int `json:"crashes"` // Incarnations of back ends reached, by crashing request.
 	Violations []Violation    `json:"violations"`
 }
 
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -34,9 +34,9 @@
 	HeaderSeenMethod = "X-Seen-Method"
 )
 
-// streamedSize is the size in bytes up to which a request body is read completely first.
+// maximumBufferedBody is the size in bytes up to which a request body is read completely first.
 // Larger bodies, and those of unknown size, are echoed while they arrive.
-const streamedSize = 64 << 10
+const maximumBufferedBody = 64 << 10
 
 // HealthPath is the path of the health check. It responds with status 503 while draining.
 const HealthPath = "/_stub/health"
@@ -148,8 +148,8 @@
 		b.serveHealth(w)
 		return
 	}
-	if r.ContentLength >= 0 && r.ContentLength <= streamedSize {
-		data, err := io.ReadAll(r.Body) // The server would discard it at the first byte of the response.
+	if r.ContentLength >= 0 && r.ContentLength <= maximumBufferedBody {
+		data, err := io.ReadAll(r.Body) // At the first byte of the response the server discards what is unread.
 		if err != nil {
 			return
 		}
--- a/internal/standin/consul/server.go
+++ b/internal/standin/consul/server.go
@@ -25,7 +25,7 @@
 // NewServer returns an empty store.
 func NewServer() *Server { return &Server{Store: keyvalue.New()} }
 
-// Handler returns the handler of the API, with the active faults in front.
+// Handler returns the handler of the API, which injects the active faults.
 func (s *Server) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /v1/kv/{key...}", s.getPair)
--- a/internal/standin/keyvalue/store.go
+++ b/internal/standin/keyvalue/store.go
@@ -1,6 +1,6 @@
 // Package keyvalue is the common part of the key-value store stubs. It keeps keys with
-// their revisions, leases and history in memory and injects faults in front of the
-// protocol that a stub serves. Packages consul and metastore implement the protocols. It
+// their revisions, leases and history in memory, and injects faults into the protocol that
+// a stub serves. Packages consul and metastore implement the protocols. It
 // uses no other package of this module.
 package keyvalue
 
@@ -33,7 +33,8 @@
 	lastLease int64 // Id of the last lease granted.
 }
 
-// lease is a granted lease. Without a time to live it lasts until it is revoked.
+// lease is a granted lease. Without a time to live it lasts until it is revoked. An expired
+// lease is revoked by the next Update.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
--- a/internal/standin/metastore/server.go
+++ b/internal/standin/metastore/server.go
@@ -40,7 +40,7 @@
 // CompactHistory drops the history, so that watches from an earlier revision get status 410.
 func (s *Server) CompactHistory() { s.Update((*keyvalue.Data).CompactHistory) }
 
-// Handler returns the handler of the protocol, with the active faults in front.
+// Handler returns the handler of the protocol, which injects the active faults.
 func (s *Server) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("GET /-/kv-key", s.serveKey)
--- a/internal/standin/platformbackend/backend.go
+++ b/internal/standin/platformbackend/backend.go
@@ -48,12 +48,12 @@
 // Observer is notified of events at the stub. Its methods may be called concurrently.
 type Observer interface {
 	// RequestStarted reports that an incarnation has started to run a request.
-	RequestStarted(requestID, instance string)
+	RequestStarted(requestID, incarnation string)
 	// Crashed reports that an incarnation has crashed.
-	Crashed(instance string)
+	Crashed(incarnation string)
 	// DrainAcknowledged reports that the node has acknowledged that an incarnation is
 	// draining.
-	DrainAcknowledged(instance string)
+	DrainAcknowledged(incarnation string)
 }
 
 // Backend is the stub.
@@ -62,13 +62,13 @@
 	client *http.Client
 	slots  *serving.Slots
 
-	mutex    sync.Mutex
-	starts   int
-	instance string
-	server   *http.Server // nil while the stub is down.
-	draining bool
-	sequence int
-	stopped  bool
+	mutex       sync.Mutex
+	starts      int
+	incarnation string
+	server      *http.Server // nil while the stub is down.
+	draining    bool
+	sequence    int
+	stopped     bool
 }
 
 // New returns a stub that has not been started.
@@ -88,31 +88,31 @@
 	if b.stopped || b.server != nil {
 		return nil
 	}
-	instance := fmt.Sprintf("i-%s-%d", strings.ReplaceAll(b.config.Address, ":", "-"), b.starts+1)
-	server, err := serving.Listen(b.config.Address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.serve(w, r, instance) }))
+	incarnation := fmt.Sprintf("i-%s-%d", strings.ReplaceAll(b.config.Address, ":", "-"), b.starts+1)
+	server, err := serving.Listen(b.config.Address, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { b.serve(w, r, incarnation) }))
 	if err != nil {
 		return err
 	}
 	b.starts++
-	b.instance, b.server = instance, server
+	b.incarnation, b.server = incarnation, server
 	b.draining, b.sequence = false, 0
-	go b.sendHeartbeats(instance)
+	go b.sendHeartbeats(incarnation)
 	return nil
 }
 
-// Instance returns the id of the current or last incarnation.
-func (b *Backend) Instance() string {
+// Incarnation returns the id of the current or last incarnation.
+func (b *Backend) Incarnation() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.instance
+	return b.incarnation
 }
 
 // Crash stops an incarnation immediately and breaks the connections of its requests in
 // flight. It returns false if that incarnation wasn't running.
-func (b *Backend) Crash(instance string) bool {
+func (b *Backend) Crash(incarnation string) bool {
 	b.mutex.Lock()
 	server := b.server
-	running := server != nil && b.instance == instance
+	running := server != nil && b.incarnation == incarnation
 	if running {
 		b.server = nil
 	}
@@ -120,7 +120,7 @@
 	if !running {
 		return false
 	}
-	b.config.Observer.Crashed(instance)
+	b.config.Observer.Crashed(incarnation)
 	_ = server.Close()
 	return true
 }
@@ -129,17 +129,17 @@
 // a grace period, deregisters and shuts down.
 func (b *Backend) Drain(grace time.Duration) {
 	b.mutex.Lock()
-	server, instance := b.server, b.instance
+	server, incarnation := b.server, b.incarnation
 	b.draining = true
 	b.mutex.Unlock()
 	if server == nil {
 		return
 	}
-	if b.sendHeartbeat(instance) {
-		b.config.Observer.DrainAcknowledged(instance)
+	if b.sendHeartbeat(incarnation) {
+		b.config.Observer.DrainAcknowledged(incarnation)
 	}
 	time.Sleep(grace)
-	b.deregister(instance)
+	b.deregister(incarnation)
 	b.mutex.Lock()
 	if b.server == server {
 		b.server = nil
@@ -164,17 +164,17 @@
 }
 
 // sendHeartbeats sends heartbeats while the incarnation runs.
-func (b *Backend) sendHeartbeats(instance string) {
-	for b.isRunning(instance) {
-		b.sendHeartbeat(instance)
+func (b *Backend) sendHeartbeats(incarnation string) {
+	for b.isRunning(incarnation) {
+		b.sendHeartbeat(incarnation)
 		time.Sleep(b.config.HeartbeatInterval)
 	}
 }
 
-func (b *Backend) isRunning(instance string) bool {
+func (b *Backend) isRunning(incarnation string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.server != nil && b.instance == instance
+	return b.server != nil && b.incarnation == incarnation
 }
 
 // heartbeat is the body of a heartbeat.
@@ -198,7 +198,7 @@
 }
 
 // sendHeartbeat sends a heartbeat and reports whether the node acknowledged it.
-func (b *Backend) sendHeartbeat(instance string) bool {
+func (b *Backend) sendHeartbeat(incarnation string) bool {
 	b.mutex.Lock()
 	b.sequence++
 	state := "ready"
@@ -211,18 +211,18 @@
 		Status:  heartbeatStatus{State: state, Sequence: b.sequence, Cold: "0ms"},
 	})
 	b.mutex.Unlock()
-	return err == nil && b.callNode(http.MethodPut, instance, string(body))
+	return err == nil && b.callNode(http.MethodPut, incarnation, string(body))
 }
 
-func (b *Backend) deregister(instance string) { b.callNode(http.MethodDelete, instance, "") }
+func (b *Backend) deregister(incarnation string) { b.callNode(http.MethodDelete, incarnation, "") }
 
 // heartbeatTimeout is the time limit for the acknowledgement of a heartbeat.
 const heartbeatTimeout = time.Second
 
-func (b *Backend) callNode(method, instance, body string) bool {
+func (b *Backend) callNode(method, incarnation, body string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.config.HeartbeatAddress+pathHeartbeat+instance, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+b.config.HeartbeatAddress+pathHeartbeat+incarnation, strings.NewReader(body))
 	if err != nil {
 		return false
 	}
@@ -235,12 +235,12 @@
 }
 
 // serve runs a request at an incarnation.
-func (b *Backend) serve(w http.ResponseWriter, r *http.Request, instance string) {
+func (b *Backend) serve(w http.ResponseWriter, r *http.Request, incarnation string) {
 	dialect := platform.Dialect()
 	requestID := r.Header.Get(dialect.RequestID)
 	w.Header().Set(dialect.RequestID, requestID)
-	if expected := r.Header.Get(dialect.ExpectInstance); expected != "" && expected != instance {
-		w.Header().Set(dialect.Instance, instance)
+	if expected := r.Header.Get(dialect.ExpectInstance); expected != "" && expected != incarnation {
+		w.Header().Set(dialect.Instance, incarnation)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -252,10 +252,10 @@
 	}
 	defer release()
 	crashes := r.Header.Get(HeaderCrash) != ""
-	b.config.Observer.RequestStarted(requestID, instance)
+	b.config.Observer.RequestStarted(requestID, incarnation)
 	time.Sleep(b.config.WorkTime)
 	if crashes {
-		b.Crash(instance)
+		b.Crash(incarnation)
 		<-r.Context().Done()
 		return
 	}
@@ -271,8 +271,8 @@
 // response to its own request.
 func SealOf(requestID string) string { return "sealed " + requestID }
 
-// call makes the call that a request asks for and reports whether its own response came
-// back.
+// call makes a call for a request, to the first of the comma-separated paths. It reports
+// whether the call succeeded with a response that belongs to it.
 func (b *Backend) call(parent *http.Request, path string) bool {
 	dialect := platform.Dialect()
 	path, rest, _ := strings.Cut(path, ",") // The next back end makes the remaining calls.
--- a/internal/standin/serving/serving.go
+++ b/internal/standin/serving/serving.go
@@ -1,5 +1,7 @@
 // Package serving is the common part of the back end stubs: slots, the listener and the
-// client for calls. Packages backend and platformbackend implement the protocols.
+// client for calls. Packages backend and platformbackend implement the protocols. It keeps no
+// state apart from the slots, servers and clients that it returns, and uses no other package
+// of this module.
 package serving
 
 import (
