--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -79,7 +79,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.starts++
-	b.node.setInstance(fmt.Sprintf("i-%s-%d", b.address, b.starts))
+	b.node.setIncarnation(fmt.Sprintf("i-%s-%d", b.address, b.starts))
 	listener, err := net.Listen("tcp", b.address)
 	if err != nil {
 		b.t.Errorf("restarting a back end: %v", err)
--- a/e2e/platform_test.go
+++ b/e2e/platform_test.go
@@ -30,7 +30,7 @@
 	settingsFile                             string
 	binary                                   string // name in the directory of built binaries, or a path
 	control                                  string
-	instance                                 atomic.Pointer[string] // the incarnation of the back end
+	incarnation                              atomic.Pointer[string] // id of the current incarnation of the back end
 	sequence                                 atomic.Int64
 	runs                                     atomic.Int64
 	runsWithPipeline                         atomic.Int64 // value of runs once all pipelined requests have begun
@@ -45,8 +45,8 @@
 // Call is the path of a call to make.
 func (n *platformNode) serveBackEnd(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
-	if instance := *n.instance.Load(); r.Header.Get("X-Expect-Instance") != instance {
-		w.Header().Set("X-Instance-Id", instance)
+	if incarnation := *n.incarnation.Load(); r.Header.Get("X-Expect-Instance") != incarnation {
+		w.Header().Set("X-Instance-Id", incarnation)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -110,11 +110,11 @@
 		control:    freePort(t),
 		binary:     "loomcleat",
 	}
-	n.setInstance("i-" + service)
+	n.setIncarnation("i-" + service)
 	return n
 }
 
-func (n *platformNode) setInstance(name string) { n.instance.Store(&name) }
+func (n *platformNode) setIncarnation(name string) { n.incarnation.Store(&name) }
 
 // startWithBackEnd writes the settings and starts the process for the back end at an address.
 func (n *platformNode) startWithBackEnd(t *testing.T, store, backend string, extraSettings ...string) {
@@ -146,7 +146,7 @@
 func (n *platformNode) sendHeartbeat(state string) int {
 	body := fmt.Sprintf(`{"address":"127.0.0.1:1","info":{"service":%q,"version":"v1","zone":"z","slots":4},"status":{"state":%q,"seq":%d,"cold_remaining":"0ms"}}`,
 		n.service, state, n.sequence.Add(1))
-	request, _ := http.NewRequest(http.MethodPut, "http://"+n.heartbeats+"/-/instances/"+*n.instance.Load(), strings.NewReader(body))
+	request, _ := http.NewRequest(http.MethodPut, "http://"+n.heartbeats+"/-/instances/"+*n.incarnation.Load(), strings.NewReader(body))
 	return fetchStatus(request)
 }
 
--- a/e2e/tenants_test.go
+++ b/e2e/tenants_test.go
@@ -208,10 +208,10 @@
 	for _, n := range []*platformNode{k.front, k.deep} {
 		var refused *http.Response
 		eventually(t, "the keys to be refused", func() bool {
-			asked := time.Now()
+			sentAt := time.Now()
 			refused = n.getWithKey(t, "/front/x", keyOfSmith, nil)
-			if refused.StatusCode == http.StatusOK && asked.Sub(cutAt) > revocationTime {
-				t.Fatalf("a key was accepted %s after it was revoked", asked.Sub(cutAt))
+			if refused.StatusCode == http.StatusOK && sentAt.Sub(cutAt) > revocationTime {
+				t.Fatalf("a key was accepted %s after it was revoked", sentAt.Sub(cutAt))
 			}
 			return refused.StatusCode == http.StatusServiceUnavailable
 		})
