--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -40,7 +40,7 @@
 	r := &reloader{source: source, current: opened, log: log}
 	r.apply = func(loaded settings.Settings) {
 		log.SetLevel(loaded.Log.Level)
-		process.Reload(loaded.Seeds)
+		process.SetSeeds(loaded.Seeds)
 	}
 	r.stamp = r.currentStamp()
 	return r
--- a/kernel/account.go
+++ b/kernel/account.go
@@ -48,7 +48,7 @@
 func callPairs(call *Call) []any {
 	pairs := []any{
 		"request", call.RequestID,
-		"user_request", call.Request,
+		"user_request", call.UserRequest,
 		"tenant", call.Tenant,
 		"service", call.Service,
 		"path", call.Policy.Path,
@@ -60,7 +60,7 @@
 		"signature", call.Signature().String(),
 	}
 	if call.Inbound {
-		pairs = append(pairs, "instance", call.Instance)
+		pairs = append(pairs, "instance", call.Incarnation)
 	}
 	if call.Execution != nil && !call.Inbound {
 		pairs = append(pairs, "parent", call.Execution.RequestID)
--- a/kernel/call.go
+++ b/kernel/call.go
@@ -28,8 +28,8 @@
 	// Policy is the effective policy of the call: the policy tree and, when Routed, its
 	// route.
 	Policy policy.Effective
-	// Request identifies the user request in the whole mesh.
-	Request string
+	// UserRequest identifies the user request in the whole mesh.
+	UserRequest string
 	// RequestID is the ID that the caller gave the request, "" for none.
 	RequestID string
 	// Credential is the key that the caller presented, "" for none. It is a secret.
@@ -53,9 +53,9 @@
 	// ClaimKey is the key under which the call runs at most once. Only the plug-ins
 	// identity and once use it. It is zero with the setting claims: false.
 	ClaimKey claims.Key
-	// Instance is the incarnation of the back end to which the call was forwarded, ""
-	// before that and when the back end sends no heartbeats.
-	Instance string
+	// Incarnation is the ID of the back end's incarnation to which the call was forwarded,
+	// "" before that and when the back end sends no heartbeats.
+	Incarnation string
 	// Fingerprint is a hash of the body, 0 when it is streamed. It distinguishes requests
 	// with the same key.
 	Fingerprint uint64
--- a/kernel/execution.go
+++ b/kernel/execution.go
@@ -12,8 +12,8 @@
 // the back end makes for it carry its token.
 type Execution struct {
 	Token string
-	// Request identifies the user request.
-	Request string
+	// UserRequest identifies the user request.
+	UserRequest string
 	// Identity is the key under which the request runs, "" with the setting claims: false.
 	// It is part of the keys of the calls that the back end makes.
 	Identity string
@@ -109,9 +109,10 @@
 	return e.level
 }
 
-// Ordinal returns the number of earlier calls with the same content. It gives each call
-// a distinct key, which stays the same when the request is executed again.
-func (e *Execution) Ordinal(content uint64) int {
+// NextOrdinal counts a call and returns the number of earlier calls with the same content.
+// It gives each call a distinct key, which stays the same when the request is executed
+// again.
+func (e *Execution) NextOrdinal(content uint64) int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.ordinals == nil {
--- a/kernel/inbound.go
+++ b/kernel/inbound.go
@@ -58,11 +58,11 @@
 	p.readContext(call, &received)
 	wire.RemoveInternal(call.Header)
 	call.Execution = &Execution{
-		Request:  call.Request,
-		Priority: call.Priority,
-		Deadline: call.Deadline,
-		Budget:   call.Budget,
-		Hops:     call.Hops,
+		UserRequest: call.UserRequest,
+		Priority:    call.Priority,
+		Deadline:    call.Deadline,
+		Budget:      call.Budget,
+		Hops:        call.Hops,
 
 		RequestID: call.RequestID,
 		IsRetry:   call.IsRetry,
@@ -78,8 +78,8 @@
 // readContext copies the received call context into the call. A call without a context
 // comes from outside the mesh and gets no retries and the lowest priority.
 func (p *Process) readContext(call *Call, received *wire.CallContext) {
-	call.Request, call.Attempt = received.Request, received.Attempt
-	if call.Request == "" {
+	call.UserRequest, call.Attempt = received.Request, received.Attempt
+	if call.UserRequest == "" {
 		p.startUserRequest(call, policy.Bulk, 0)
 		call.Priority = 0
 		return
--- a/kernel/outbound.go
+++ b/kernel/outbound.go
@@ -64,8 +64,8 @@
 
 // startUserRequest starts a user request with the given class and number of retries.
 func (p *Process) startUserRequest(call *Call, class policy.Class, retries int) {
-	call.Request = p.NewIdentity()
-	call.Priority = admission.Priority(int(class), call.Request)
+	call.UserRequest = p.NewIdentity()
+	call.Priority = admission.Priority(int(class), call.UserRequest)
 	call.Deadline = p.deadlineOf(call)
 	call.Budget = retrybudget.Open(retries)
 }
@@ -143,7 +143,7 @@
 // joinExecution makes a call part of the user request of an execution.
 func (p *Process) joinExecution(call *Call, execution *Execution) {
 	call.Execution = execution
-	call.Request = execution.Request
+	call.UserRequest = execution.UserRequest
 	call.Priority = execution.Priority
 	call.Budget = execution.Budget
 	call.Hops = execution.Hops + 1
--- a/kernel/outbound_test.go
+++ b/kernel/outbound_test.go
@@ -37,7 +37,7 @@
 	}}}))
 	p.ready.Store(true)
 	p.executions.add(&Execution{
-		RequestID: "parent", Request: "user", Priority: 900, IsRetry: true, Hops: 1,
+		RequestID: "parent", UserRequest: "user", Priority: 900, IsRetry: true, Hops: 1,
 		Budget: retrybudget.Open(1), Deadline: clock.Now().Add(time.Second),
 	})
 	return p
@@ -78,7 +78,7 @@
 	call, err := entryProcess().entryCall(entryRequest("/a/x", "parent/1", "5000"))
 	is.NoErr(err)
 	is.True(!call.External && call.HasUpstreamWork() && call.IsRetry)
-	is.Equal(call.Request, "user")
+	is.Equal(call.UserRequest, "user")
 	is.Equal(call.Priority, 900)
 	is.Equal(call.Hops, 2)
 	is.True(call.Deadline.Left() <= time.Second) // bounded by the deadline of its parent
--- a/kernel/process.go
+++ b/kernel/process.go
@@ -138,8 +138,8 @@
 // Context returns a context that is cancelled when the process stops.
 func (p *Process) Context() context.Context { return p.context }
 
-// Reload replaces the seed addresses.
-func (p *Process) Reload(seeds []string) {
+// SetSeeds replaces the seed addresses.
+func (p *Process) SetSeeds(seeds []string) {
 	p.Loop.Post(func(time.Time) { p.Mesh.SetSeeds(seeds) })
 }
 
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -84,7 +84,7 @@
 	if header := f.process.Dialect.ExpectInstance; header != "" {
 		call.Header.Set(header, state.ID)
 	}
-	call.Instance = state.ID
+	call.Incarnation = state.ID
 	return state.ID, nil
 }
 
--- a/plugin/identity/identity_test.go
+++ b/plugin/identity/identity_test.go
@@ -13,16 +13,16 @@
 
 // callFields holds the fields of a call that its claim key depends on.
 type callFields struct {
-	service, path, key, credentials, request, tenant string
-	fingerprint                                      uint64
-	execution                                        *kernel.Execution
+	service, path, key, credentials, userRequest, tenant string
+	fingerprint                                          uint64
+	execution                                            *kernel.Execution
 }
 
 // keyOf returns the claim key of a call.
 func keyOf(f callFields) string {
 	call := &kernel.Call{
 		Service: f.service, Method: http.MethodPost, URL: &url.URL{Path: f.path}, Header: http.Header{},
-		Body: kernel.NewBufferedBody(nil), Request: f.request, Fingerprint: f.fingerprint, Execution: f.execution, Tenant: f.tenant,
+		Body: kernel.NewBufferedBody(nil), UserRequest: f.userRequest, Fingerprint: f.fingerprint, Execution: f.execution, Tenant: f.tenant,
 	}
 	if f.key != "" {
 		call.Header.Set(wire.HeaderIdempotencyKey, f.key)
@@ -36,7 +36,7 @@
 
 // TestClaimKey checks which calls get the same claim key.
 func TestClaimKey(t *testing.T) {
-	base := callFields{service: "pay", path: "/x", key: "k", request: "r1"}
+	base := callFields{service: "pay", path: "/x", key: "k", userRequest: "r1"}
 	with := func(change func(*callFields)) callFields {
 		changed := base
 		change(&changed)
@@ -47,7 +47,7 @@
 		a, b callFields
 		same bool
 	}{
-		{"the same key", base, with(func(f *callFields) { f.request = "r2" }), true},
+		{"the same key", base, with(func(f *callFields) { f.userRequest = "r2" }), true},
 		{"another key", base, with(func(f *callFields) { f.key = "other" }), false},
 		{"another service", base, with(func(f *callFields) { f.service = "other" }), false},
 		{"another target", base, with(func(f *callFields) { f.path = "/y" }), false},
@@ -55,7 +55,7 @@
 		{"another tenant", base, with(func(f *callFields) { f.tenant = "other" }), false},
 		{"another body, which the fingerprint detects later", base, with(func(f *callFields) { f.fingerprint = 7 }), true},
 		{"no key, the same user request", with(func(f *callFields) { f.key = "" }), with(func(f *callFields) { f.key = "" }), true},
-		{"no key, another user request", with(func(f *callFields) { f.key = "" }), with(func(f *callFields) { f.key, f.request = "", "r2" }), false},
+		{"no key, another user request", with(func(f *callFields) { f.key = "" }), with(func(f *callFields) { f.key, f.userRequest = "", "r2" }), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/plugin/identity/setup.go
+++ b/plugin/identity/setup.go
@@ -41,7 +41,7 @@
 	if !call.External || call.Policy.Repeatable || call.Header.Get(wire.HeaderIdempotencyKey) != "" {
 		return false
 	}
-	call.Header.Set(wire.HeaderIdempotencyKey, call.Request)
+	call.Header.Set(wire.HeaderIdempotencyKey, call.UserRequest)
 	return true
 }
 
@@ -68,7 +68,7 @@
 	case given != "":
 		call.ClaimKey = claims.NewKey(kindGiven, call.Service, call.Method, target, given, callerIdentity(call))
 	case call.Execution == nil:
-		call.ClaimKey = claims.NewKey(kindDerived, call.Request, call.Service, call.Method, target)
+		call.ClaimKey = claims.NewKey(kindDerived, call.UserRequest, call.Service, call.Method, target)
 	case buffered:
 		call.ClaimKey = executionKey(call, target, strconv.FormatUint(call.Fingerprint, 16))
 	default: // a streamed body has no fingerprint, so its length is used
@@ -89,6 +89,6 @@
 // earlier calls with the same content.
 func executionKey(call *kernel.Call, target, content string) claims.Key {
 	kind := xxhash.Sum64String(call.Service + " " + call.Method + " " + target + " " + content)
-	ordinal := call.Execution.Ordinal(kind)
+	ordinal := call.Execution.NextOrdinal(kind)
 	return claims.NewKey(kindDerived, call.Execution.Identity, call.Service, call.Method, target, content, strconv.Itoa(ordinal))
 }
--- a/plugin/quarantine/attempt.go
+++ b/plugin/quarantine/attempt.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return p.recordFailure(call, err)
 	}
-	if call.Instance == "" && p.unnamedCrashed.CompareAndSwap(true, false) {
+	if call.Incarnation == "" && p.unnamedCrashed.CompareAndSwap(true, false) {
 		p.unnamedIncarnation.Add(1)
 	}
 	if p.hasSuspects.Load() {
--- a/plugin/quarantine/crashcheck.go
+++ b/plugin/quarantine/crashcheck.go
@@ -147,8 +147,8 @@
 // sends no id, it is made from the process id and a counter, which grows with the first
 // complete answer after a crash.
 func (p *plugin) incarnation(call *kernel.Call) string {
-	if call.Instance != "" {
-		return call.Instance
+	if call.Incarnation != "" {
+		return call.Incarnation
 	}
 	return fmt.Sprintf("%s/%d", p.process.ID, p.unnamedIncarnation.Load())
 }
--- a/plugin/quarantine/setup_test.go
+++ b/plugin/quarantine/setup_test.go
@@ -32,7 +32,7 @@
 }
 
 func newCall(path, incarnation string) *kernel.Call {
-	return &kernel.Call{Method: http.MethodGet, Host: "shop.example", URL: &url.URL{Path: path}, Instance: incarnation}
+	return &kernel.Call{Method: http.MethodGet, Host: "shop.example", URL: &url.URL{Path: path}, Incarnation: incarnation}
 }
 
 // newCrash returns a crash with one request in flight.
--- a/plugin/routing/attempt.go
+++ b/plugin/routing/attempt.go
@@ -101,7 +101,7 @@
 	call, process := a.call, a.router.process
 	callContext := wire.CallContext{
 		Service:        call.Service,
-		Request:        call.Request,
+		Request:        call.UserRequest,
 		Attempt:        call.Attempt,
 		Priority:       call.Priority,
 		Remaining:      call.Deadline.Left(),
--- a/plugin/tenant/authenticate.go
+++ b/plugin/tenant/authenticate.go
@@ -77,7 +77,7 @@
 	if tenant.Class != nil {
 		class = *tenant.Class
 	}
-	return admission.RankedPriority(int(class), int(call.Policy.Class), call.Request)
+	return admission.RankedPriority(int(class), int(call.Policy.Class), call.UserRequest)
 }
 
 // proof is the proof that the policy was the newest one some time ago.
--- a/plugin/tenant/tenant_test.go
+++ b/plugin/tenant/tenant_test.go
@@ -96,7 +96,7 @@
 	is := is.New(t)
 	a := newAuthenticator(keyedPolicy(), 0)
 	priority := func(key string, class policy.Class) int {
-		call := &kernel.Call{External: true, Credential: key, Header: http.Header{}, Request: "r", Priority: 3}
+		call := &kernel.Call{External: true, Credential: key, Header: http.Header{}, UserRequest: "r", Priority: 3}
 		call.Policy.Class = class
 		is.NoErr(a.authenticate(call))
 		return call.Priority
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	document := keyedPolicy()
 	document.Tenants[1].Class = document.Tenants[0].Class
-	call := &kernel.Call{External: true, Credential: "secret-1", Header: http.Header{}, Request: "r", Priority: 3}
+	call := &kernel.Call{External: true, Credential: "secret-1", Header: http.Header{}, UserRequest: "r", Priority: 3}
 	is.NoErr(newAuthenticator(document, 0).authenticate(call))
 	is.Equal(call.Priority, 3)
 }
@@ -141,7 +141,7 @@
 func BenchmarkAuthenticate(b *testing.B) {
 	a := newAuthenticator(keyedPolicy(), 0)
 	header := http.Header{"Accept": {"*/*"}, "Host": {"shop.example"}}
-	call := &kernel.Call{External: true, Credential: "secret-2", Header: header, Request: "0123456789ab-1"}
+	call := &kernel.Call{External: true, Credential: "secret-2", Header: header, UserRequest: "0123456789ab-1"}
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := a.authenticate(call); err != nil {
