--- a/claims/replica.go
+++ b/claims/replica.go
@@ -213,8 +213,8 @@
 // Revision returns the revision of the adopted Groups document, 0 for none.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Groups returns the number of groups in the adopted document.
-func (r *Replica) Groups() int { return len(r.groups) }
+// GroupCount returns the number of groups in the adopted document.
+func (r *Replica) GroupCount() int { return len(r.groups) }
 
 // Len returns the number of claims held.
 func (r *Replica) Len() int { return r.count }
--- a/plugin/once/groups.go
+++ b/plugin/once/groups.go
@@ -113,7 +113,7 @@
 func (o *once) status(ctx context.Context) (wire.ClaimStatus, error) {
 	return kernel.Query(ctx, o.process.Loop, func(time.Time) wire.ClaimStatus {
 		status := wire.ClaimStatus{Revision: o.replica.Revision()}
-		for i := range o.replica.Groups() {
+		for i := range o.replica.GroupCount() {
 			if o.replica.IsVoter(i) {
 				status.Voting = append(status.Voting, i)
 			}
