--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -156,7 +156,7 @@
 // call makes the call to the i-th service of the chain, with retries.
 func (c *cluster) call(from caller, r *request, i int, account *retrybudget.Account, done func(reply)) {
 	service := c.mesh.services[i].name
-	c.ratio(from, service).Call(c.Now(), policy.DefaultRetryRatio)
+	c.ratio(from, service).RecordCall(c.Now(), policy.DefaultRetryRatio)
 	tried := []string{}
 	var try func()
 	try = func() {
@@ -180,5 +180,5 @@
 	if !response.refused && !c.mesh.kinds[r.kind].repeatable {
 		return false
 	}
-	return account.Spend() && c.ratio(from, service).Retry(c.Now())
+	return account.Spend() && c.ratio(from, service).Spend(c.Now())
 }
--- a/plugin/retry/limiter.go
+++ b/plugin/retry/limiter.go
@@ -44,7 +44,7 @@
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.ratio(call, now).Call(now, call.Policy.RetryRatio)
+	l.ratio(call, now).RecordCall(now, call.Policy.RetryRatio)
 }
 
 func (l *ratioLimiter) takeRetry(call *kernel.Call) bool {
@@ -54,7 +54,7 @@
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.ratio(call, now).Retry(now)
+	return l.ratio(call, now).Spend(now)
 }
 
 func (l *ratioLimiter) shared() bool { return false }
--- a/retrybudget/account_test.go
+++ b/retrybudget/account_test.go
@@ -148,15 +148,15 @@
 	ratio := NewRatio(now)
 	allowed := 0
 	for range 1000 {
-		ratio.Call(now, 0.1)
-		if ratio.Retry(now) {
+		ratio.RecordCall(now, 0.1)
+		if ratio.Spend(now) {
 			allowed++
 		}
 	}
 	is.True(allowed >= 100)            // a tenth of the calls
 	is.True(allowed <= 100+ratioBurst) // and the burst
-	is.True(!ratio.Retry(now))
-	is.True(ratio.Retry(now.Add(2 * time.Second))) // the minimum rate
+	is.True(!ratio.Spend(now))
+	is.True(ratio.Spend(now.Add(2 * time.Second))) // the minimum rate
 }
 
 func ExampleAccount() {
--- a/retrybudget/ratio.go
+++ b/retrybudget/ratio.go
@@ -23,14 +23,14 @@
 	return &Ratio{tokens: ratioBurst, filledAt: now}
 }
 
-// Call records the first attempt of a call. ratio is the number of retries allowed per call.
-func (r *Ratio) Call(now time.Time, ratio float64) {
+// RecordCall records the first attempt of a call. ratio is the number of retries allowed per call.
+func (r *Ratio) RecordCall(now time.Time, ratio float64) {
 	r.fill(now)
 	r.tokens = min(r.tokens+ratio, ratioBurst)
 }
 
-// Retry takes one token and reports whether one was left.
-func (r *Ratio) Retry(now time.Time) bool {
+// Spend takes one token and reports whether one was left.
+func (r *Ratio) Spend(now time.Time) bool {
 	r.fill(now)
 	if r.tokens < 1 {
 		return false
