--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -249,7 +249,7 @@
 		return failed
 	}
 	request.Host = call.Service
-	request.Header.Set(wire.HeaderContext, r.Header.Get(wire.HeaderContext))
+	request.Header.Set(wire.HeaderToken, r.Header.Get(wire.HeaderToken))
 	request.Header.Set(HeaderTag, r.Header.Get(HeaderTag))
 	response, err := b.client.Do(request)
 	if err != nil {
--- a/kernel/outbound.go
+++ b/kernel/outbound.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	token := r.Header.Get(wire.HeaderContext)
+	token := r.Header.Get(wire.HeaderToken)
 	wire.RemoveInternal(call.Header)
 	if execution := p.executions.find(token); execution != nil {
 		p.joinExecution(call, execution)
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	execution := p.executions.find(r.Header.Get(wire.HeaderContext))
+	execution := p.executions.find(r.Header.Get(wire.HeaderToken))
 	if execution == nil {
 		execution = p.guessParent(call)
 		call.ParentGuessed = execution != nil
--- a/plugin/forward/forward.go
+++ b/plugin/forward/forward.go
@@ -25,7 +25,7 @@
 
 // handle sends the call to the back end.
 func (f *forwarder) handle(call *kernel.Call) (*kernel.Answer, error) {
-	call.Header.Set(wire.HeaderContext, call.Execution.Token)
+	call.Header.Set(wire.HeaderToken, call.Execution.Token)
 	expected, err := f.expectIncarnation(call)
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 		return result.New(result.AnswerMismatch, "the back end answered another request")
 	}
 	if !dialect.IsNotRun(response) {
-		return f.checkContext(call, response)
+		return f.checkToken(call, response)
 	}
 	if response.StatusCode == http.StatusMisdirectedRequest && f.process.BackEnd != nil {
 		f.process.BackEnd.ObserveReplacement(expected, response.Header.Get(dialect.Instance))
@@ -106,10 +106,10 @@
 	return result.New(result.BackendRefused, "the back end refused with status %d", response.StatusCode).WithUsualRetryAfter()
 }
 
-// checkContext returns an error if the response carries the call context of another request. Back
-// ends need not return the call context.
-func (f *forwarder) checkContext(call *kernel.Call, response *http.Response) error {
-	echo := response.Header.Get(wire.HeaderContext)
+// checkToken returns an error if the response carries the token of another execution. Back ends
+// need not return the token.
+func (f *forwarder) checkToken(call *kernel.Call, response *http.Response) error {
+	echo := response.Header.Get(wire.HeaderToken)
 	if echo == "" || echo == call.Execution.Token {
 		return nil
 	}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -76,7 +76,7 @@
 func TestWireNames(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{wire.Prefix, "Loomcleat-"},
-		{wire.HeaderContext, "Loomcleat-Context"},
+		{wire.HeaderToken, "Loomcleat-Context"},
 		{wire.HeaderCall, "Loomcleat-Call"},
 		{wire.HeaderReport, "Loomcleat-Report"},
 		{wire.HeaderIdempotencyKey, "Idempotency-Key"},
--- a/wire/headers.go
+++ b/wire/headers.go
@@ -4,7 +4,7 @@
 // The messages contain types of the packages whose data they carry.
 //
 // Headers with the internal prefix are removed from all requests of callers and all
-// answers of back ends. The exception is HeaderContext, which a back end copies from the
+// answers of back ends. The exception is HeaderToken, which a back end copies from the
 // request that it serves to the calls that it makes.
 package wire
 
@@ -18,9 +18,9 @@
 
 // Headers on requests between processes.
 const (
-	// HeaderContext is set on each request to a back end. The back end copies it to the
-	// calls that it makes, as it does with traceparent.
-	HeaderContext = "Loomcleat-Context"
+	// HeaderToken holds the token of an execution. It is set on each request to a back
+	// end, which copies it to the calls that it makes, as it does with traceparent.
+	HeaderToken = "Loomcleat-Context"
 	// HeaderCall holds the CallContext of a call from one process to another.
 	HeaderCall = "Loomcleat-Call"
 )
