--- a/internal/replay/runners.go
+++ b/internal/replay/runners.go
@@ -159,38 +159,38 @@
 
 // gossipRunner runs a simulated cluster in virtual time.
 type gossipRunner struct {
-	mesh     *simulation.MembershipMesh
+	cluster  *simulation.MembershipCluster
 	markedAt time.Duration
 }
 
 func newGossipRunner(setting Setting) runner {
-	return &gossipRunner{mesh: simulation.NewMembershipMesh(simulation.MembershipConfig{Members: setting.Members, Seed: setting.Seed, Loss: setting.Loss})}
+	return &gossipRunner{cluster: simulation.NewMembershipCluster(simulation.MembershipClusterConfig{Members: setting.Members, Seed: setting.Seed, Loss: setting.Loss})}
 }
 
 func (r *gossipRunner) step(step Step) (string, error) {
-	if wait := step.At - r.mesh.Elapsed(); wait > 0 {
-		r.mesh.Run(wait)
+	if wait := step.At - r.cluster.Elapsed(); wait > 0 {
+		r.cluster.Run(wait)
 	}
 	switch step.Do {
 	case "crash":
-		r.mesh.Crash(step.Count)
+		r.cluster.Crash(step.Count)
 	case "freeze":
-		r.mesh.Freeze(step.Count)
+		r.cluster.Freeze(step.Count)
 	case "wake":
-		r.mesh.Wake(step.Count)
+		r.cluster.Resume(step.Count)
 	case "leave":
-		r.mesh.Leave(step.Count)
+		r.cluster.Leave(step.Count)
 	case "cut":
-		r.mesh.Cut(step.Count)
+		r.cluster.Partition(step.Count)
 	case "heal":
-		r.mesh.Heal()
+		r.cluster.Heal()
 	case "mark":
-		r.markedAt = r.mesh.Elapsed()
-	case "agree": // Wait until all members agree, at most for Left.
-		_, agreed := r.mesh.RunUntil(step.Left, r.mesh.Agree)
-		return fmt.Sprintf("agreed %t", agreed), nil
+		r.markedAt = r.cluster.Elapsed()
+	case "agree": // Wait until the members have converged, at most for Left.
+		_, converged := r.cluster.RunUntil(step.Left, r.cluster.Converged)
+		return fmt.Sprintf("agreed %t", converged), nil
 	case "removals": // Removals of running members since the mark.
-		return fmt.Sprintf("false removals %d", r.mesh.FalseRemovals(r.markedAt)), nil
+		return fmt.Sprintf("false removals %d", r.cluster.FalseRemovals(r.markedAt)), nil
 	default:
 		return "", unknownAction(step)
 	}
--- a/internal/simulation/membership.go
+++ b/internal/simulation/membership.go
@@ -8,12 +8,12 @@
 	"github.com/loomcleat/loomcleat/membership"
 )
 
-// MembershipMesh is a simulated cluster: it runs the membership machine of each member in
+// MembershipCluster is a simulated cluster: it runs the membership machine of each member in
 // virtual time under message loss, delays, crashes, freezes and partitions. Runs with the
 // same seed are identical.
-type MembershipMesh struct {
+type MembershipCluster struct {
 	*Engine
-	config    MembershipConfig
+	config    MembershipClusterConfig
 	random    *rand.Rand
 	members   []*simulatedMember
 	byAddress map[string]*simulatedMember
@@ -21,8 +21,8 @@
 	Changes []StatusChange
 }
 
-// MembershipConfig configures a MembershipMesh.
-type MembershipConfig struct {
+// MembershipClusterConfig configures a MembershipCluster.
+type MembershipClusterConfig struct {
 	Members int
 	Seed    uint64
 	// Interval is the probe interval. Default 1 s.
@@ -55,13 +55,13 @@
 	pending   []func()
 }
 
-// NewMembershipMesh returns a cluster whose members use the first member as their seed.
+// NewMembershipCluster returns a cluster whose members use the first member as their seed.
 // Members start when the virtual clock advances.
-func NewMembershipMesh(config MembershipConfig) *MembershipMesh {
+func NewMembershipCluster(config MembershipClusterConfig) *MembershipCluster {
 	if config.Interval == 0 {
 		config.Interval = time.Second
 	}
-	m := &MembershipMesh{Engine: New(), config: config, byAddress: map[string]*simulatedMember{}}
+	m := &MembershipCluster{Engine: New(), config: config, byAddress: map[string]*simulatedMember{}}
 	m.random = rand.New(rand.NewPCG(config.Seed, 1))
 	for i := range config.Members {
 		m.add(i)
@@ -71,7 +71,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7001", i/250, i%250) }
 
-func (m *MembershipMesh) add(i int) {
+func (m *MembershipCluster) add(i int) {
 	member := &simulatedMember{id: fmt.Sprintf("m%04d", i), slow: m.random.Float64() < m.config.Slow}
 	config := membership.Config{
 		Self:          membership.Member{ID: member.id, Control: address(i), Generation: int64(i + 1)},
@@ -86,12 +86,12 @@
 	m.After(time.Duration(m.random.Int64N(int64(m.config.Interval))), func() { m.tick(member) })
 }
 
-func (m *MembershipMesh) recordChange(observer *simulatedMember, after membership.Member) {
+func (m *MembershipCluster) recordChange(observer *simulatedMember, after membership.Member) {
 	m.Changes = append(m.Changes, StatusChange{m.Elapsed(), observer.id, after.ID, after.Status, after.Leaving})
 }
 
 // tick runs the due work of a member and schedules its next tick.
-func (m *MembershipMesh) tick(member *simulatedMember) {
+func (m *MembershipCluster) tick(member *simulatedMember) {
 	if member.crashed {
 		return
 	}
@@ -101,7 +101,7 @@
 	m.After(m.config.Interval/20, func() { m.tick(member) })
 }
 
-func (m *MembershipMesh) deliver(from *simulatedMember, sends []membership.Send) {
+func (m *MembershipCluster) deliver(from *simulatedMember, sends []membership.Send) {
 	for _, send := range sends {
 		m.exchange(from, send)
 	}
@@ -112,13 +112,13 @@
 	delayRange   = 2 * time.Millisecond
 )
 
-func (m *MembershipMesh) delay() time.Duration {
+func (m *MembershipCluster) delay() time.Duration {
 	return minimumDelay + time.Duration(m.random.Int64N(int64(delayRange)))
 }
 
 // exchange simulates one message and its reply. The sender times out after half of the
 // probe interval.
-func (m *MembershipMesh) exchange(from *simulatedMember, send membership.Send) {
+func (m *MembershipCluster) exchange(from *simulatedMember, send membership.Send) {
 	answered := false
 	m.After(m.config.Interval/2, func() {
 		if !answered {
@@ -152,22 +152,22 @@
 	})
 }
 
-func (m *MembershipMesh) lost() bool { return m.random.Float64() < m.config.Loss }
+func (m *MembershipCluster) lost() bool { return m.random.Float64() < m.config.Loss }
 
 // late draws whether a slow member misses the probe timeout for one message.
-func (m *MembershipMesh) late(member *simulatedMember) bool {
+func (m *MembershipCluster) late(member *simulatedMember) bool {
 	return member.slow && m.random.IntN(2) == 0
 }
 
 // reachable reports whether messages from one member can reach the other.
-func (m *MembershipMesh) reachable(from, to *simulatedMember) bool {
+func (m *MembershipCluster) reachable(from, to *simulatedMember) bool {
 	return to != nil && !to.crashed && !from.crashed && from.partition == to.partition
 }
 
-// receive runs the handler of a message at a member: immediately, on Wake if the member is
+// receive runs the handler of a message at a member: immediately, on Resume if the member is
 // frozen, or one probe interval later if it is late. A member that has crashed, or that is
 // frozen by the time a late message is due, drops the message.
-func (m *MembershipMesh) receive(member *simulatedMember, run func()) {
+func (m *MembershipCluster) receive(member *simulatedMember, run func()) {
 	switch {
 	case member.crashed:
 	case member.frozen:
@@ -184,17 +184,17 @@
 }
 
 // Crash stops a member without notice.
-func (m *MembershipMesh) Crash(i int) { m.members[i].crashed = true }
+func (m *MembershipCluster) Crash(i int) { m.members[i].crashed = true }
 
 // Leave makes a member announce that it leaves.
-func (m *MembershipMesh) Leave(i int) { m.members[i].machine.SetState(true, false) }
+func (m *MembershipCluster) Leave(i int) { m.members[i].machine.SetState(true, false) }
 
-// Freeze pauses a member. Its incoming messages are kept until Wake.
-func (m *MembershipMesh) Freeze(i int) { m.members[i].frozen = true }
+// Freeze pauses a member. Its incoming messages are kept until Resume.
+func (m *MembershipCluster) Freeze(i int) { m.members[i].frozen = true }
 
-// Wake resumes a frozen member: its timers run first, then the messages that arrived while
-// it was frozen.
-func (m *MembershipMesh) Wake(i int) {
+// Resume ends the freeze of a member: its timers run first, then the messages that arrived
+// during the freeze.
+func (m *MembershipCluster) Resume(i int) {
 	member := m.members[i]
 	member.frozen = false
 	pending := member.pending
@@ -205,9 +205,9 @@
 	}
 }
 
-// Cut partitions the network: members with an index of at least from are separated from
+// Partition splits the network: members with an index of at least from are separated from
 // the others.
-func (m *MembershipMesh) Cut(from int) {
+func (m *MembershipCluster) Partition(from int) {
 	for i, member := range m.members {
 		member.partition = 0
 		if i >= from {
@@ -217,10 +217,10 @@
 }
 
 // Heal removes the partition.
-func (m *MembershipMesh) Heal() { m.Cut(len(m.members)) }
+func (m *MembershipCluster) Heal() { m.Partition(len(m.members)) }
 
-// Agree reports whether every running member sees exactly the running members as alive.
-func (m *MembershipMesh) Agree() bool {
+// Converged reports whether every running member sees exactly the running members as alive.
+func (m *MembershipCluster) Converged() bool {
 	for _, observer := range m.members {
 		if observer.crashed {
 			continue
@@ -242,7 +242,7 @@
 
 // RunUntil advances the virtual clock until the condition holds. It returns the elapsed
 // virtual time, and false if the condition does not hold within the limit.
-func (m *MembershipMesh) RunUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
+func (m *MembershipCluster) RunUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	started := m.Now()
 	for m.Now().Sub(started) < limit {
 		if condition() {
@@ -255,7 +255,7 @@
 
 // FalseRemovals counts the changes to dead, since the given virtual time, of members that
 // have not crashed, over all observers.
-func (m *MembershipMesh) FalseRemovals(since time.Duration) int {
+func (m *MembershipCluster) FalseRemovals(since time.Duration) int {
 	count := 0
 	for _, change := range m.Changes {
 		for _, member := range m.members {
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -17,44 +17,44 @@
 	cases := []struct {
 		name  string
 		loss  float64
-		fault func(*MembershipMesh)
+		fault func(*MembershipCluster)
 	}{
-		{"no fault", 0, func(*MembershipMesh) {}},
-		{"crash", 0, func(m *MembershipMesh) { m.Crash(5) }},
-		{"crash with one tenth of the messages lost", 0.1, func(m *MembershipMesh) { m.Crash(5) }},
-		{"six simultaneous crashes", 0, func(m *MembershipMesh) {
+		{"no fault", 0, func(*MembershipCluster) {}},
+		{"crash", 0, func(m *MembershipCluster) { m.Crash(5) }},
+		{"crash with one tenth of the messages lost", 0.1, func(m *MembershipCluster) { m.Crash(5) }},
+		{"six simultaneous crashes", 0, func(m *MembershipCluster) {
 			for i := 3; i < 9; i++ {
 				m.Crash(i)
 			}
 		}},
-		{"crash of the seed", 0, func(m *MembershipMesh) { m.Crash(0) }},
-		{"2 s freeze", 0, func(m *MembershipMesh) { m.Freeze(4); m.Run(2 * time.Second); m.Wake(4) }},
-		{"1 min freeze", 0, func(m *MembershipMesh) { m.Freeze(4); m.Run(time.Minute); m.Wake(4) }},
-		{"partition into halves for 5 min", 0, func(m *MembershipMesh) { m.Cut(members / 2); m.Run(5 * time.Minute); m.Heal() }},
-		{"partition of one member for 1 min", 0, func(m *MembershipMesh) { m.Cut(members - 1); m.Run(time.Minute); m.Heal() }},
+		{"crash of the seed", 0, func(m *MembershipCluster) { m.Crash(0) }},
+		{"2 s freeze", 0, func(m *MembershipCluster) { m.Freeze(4); m.Run(2 * time.Second); m.Resume(4) }},
+		{"1 min freeze", 0, func(m *MembershipCluster) { m.Freeze(4); m.Run(time.Minute); m.Resume(4) }},
+		{"partition into halves for 5 min", 0, func(m *MembershipCluster) { m.Partition(members / 2); m.Run(5 * time.Minute); m.Heal() }},
+		{"partition of one member for 1 min", 0, func(m *MembershipCluster) { m.Partition(members - 1); m.Run(time.Minute); m.Heal() }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			m := NewMembershipMesh(MembershipConfig{Members: members, Seed: 7, Loss: c.loss})
-			_, joined := m.RunUntil(time.Minute, m.Agree)
+			m := NewMembershipCluster(MembershipClusterConfig{Members: members, Seed: 7, Loss: c.loss})
+			_, joined := m.RunUntil(time.Minute, m.Converged)
 			is.True(joined)
 			c.fault(m)
-			_, agreed := m.RunUntil(3*time.Minute, m.Agree)
-			is.True(agreed)
+			_, converged := m.RunUntil(3*time.Minute, m.Converged)
+			is.True(converged)
 		})
 	}
 }
 
 func TestAFrozenMemberDoesNotRemoveOthersWhenItWakes(t *testing.T) {
 	is := is.New(t)
-	m := NewMembershipMesh(MembershipConfig{Members: 24, Seed: 3})
-	m.RunUntil(time.Minute, m.Agree)
+	m := NewMembershipCluster(MembershipClusterConfig{Members: 24, Seed: 3})
+	m.RunUntil(time.Minute, m.Converged)
 	for _, pause := range []time.Duration{3 * time.Second, 10 * time.Second, time.Minute} {
 		m.Freeze(4)
 		m.Run(pause)
 		began := m.Elapsed()
-		m.Wake(4)
+		m.Resume(4)
 		m.Run(time.Minute)
 		for _, change := range m.Changes {
 			falselyRemoved := change.At >= began && change.Status == membership.Dead && change.Member != "m0004"
@@ -67,8 +67,8 @@
 // propagation: all members must see a leave within 2 s and a crash within 20 s (medians).
 func TestLeaveAndCrashPropagation(t *testing.T) {
 	is := is.New(t)
-	m := NewMembershipMesh(MembershipConfig{Members: 64, Seed: 5})
-	m.RunUntil(5*time.Minute, m.Agree)
+	m := NewMembershipCluster(MembershipClusterConfig{Members: 64, Seed: 5})
+	m.RunUntil(5*time.Minute, m.Converged)
 	settled := m.Elapsed()
 	m.Run(10 * time.Second)
 	is.Equal(m.FalseRemovals(settled), 0)
@@ -97,7 +97,7 @@
 
 // allObserved reports whether every other running member has seen a matching change of the
 // victim since the given virtual time.
-func (m *MembershipMesh) allObserved(victim int, since time.Duration, matches func(StatusChange) bool) bool {
+func (m *MembershipCluster) allObserved(victim int, since time.Duration, matches func(StatusChange) bool) bool {
 	observed := map[string]bool{}
 	for _, change := range m.Changes {
 		if change.At >= since && change.Member == m.members[victim].id && matches(change) {
@@ -116,8 +116,8 @@
 // probes under message loss: they must refute each suspicion in time.
 func TestSlowMembersAreNotRemoved(t *testing.T) {
 	is := is.New(t)
-	m := NewMembershipMesh(MembershipConfig{Members: 32, Seed: 1, Loss: 0.05, Slow: 0.1})
-	m.RunUntil(time.Minute, m.Agree)
+	m := NewMembershipCluster(MembershipClusterConfig{Members: 32, Seed: 1, Loss: 0.05, Slow: 0.1})
+	m.RunUntil(time.Minute, m.Converged)
 	began := m.Elapsed()
 	m.Run(2 * time.Minute)
 	is.Equal(m.FalseRemovals(began), 0)
