--- a/plugin/tenant/authenticate.go
+++ b/plugin/tenant/authenticate.go
@@ -11,8 +11,8 @@
 	"github.com/loomcleat/loomcleat/result"
 )
 
-// clockDriftShare is the share of the revocation time that is reserved for the clocks of processes
-// that run at different speeds. It is far above the drift of any real clock.
+// clockDriftShare is the share of the revocation time that is reserved for processes whose
+// clocks run at different speeds. It is far above the drift of any real clock.
 const clockDriftShare = 0.02
 
 // maximumProofAge returns the age up to which the proof of a policy is valid for its keys. The
